--- a/lab/src/caller.rs
+++ b/lab/src/caller.rs
@@ -1,6 +1,6 @@
 //! Open-loop SIP callers: arrivals don't wait for answers, and time counts from the intended start.
 
-use petreldock::net::sip::{self, Start};
+use petreldock::net::sip::{self, StartLine};
 use petreldock_lab::program::CLASSES;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -159,11 +159,11 @@
         let Some((nth, tries)) = self.tries.borrow().get(&call).copied() else { return };
         let now = Instant::now();
         match message.start {
-            Start::Request("BYE", _) => {
+            StartLine::Request("BYE", _) => {
                 let normal = message.header("Reason").and_then(sip::cause) == Some(16);
                 self.wishes.borrow_mut()[nth].cut |= !normal;
             }
-            Start::Response(status) if status >= 200 => {
+            StartLine::Response(status) if status >= 200 => {
                 if message.cseq().is_none_or(|(_, method)| method != "INVITE") {
                     return;
                 }
--- a/lab/src/soak/caller.rs
+++ b/lab/src/soak/caller.rs
@@ -1,6 +1,6 @@
 //! Callers of one controller, on a few connections that stay open: what they asked, and what they were told when.
 
-use petreldock::net::sip::{self, Start};
+use petreldock::net::sip::{self, StartLine};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -184,7 +184,7 @@
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(&call) else { return };
         match message.start {
-            Start::Request("BYE", _) => {
+            StartLine::Request("BYE", _) => {
                 let cause = message.header("Reason").and_then(sip::cause).unwrap_or(0);
                 request.releases.push((now, cause));
                 let answer = format!(
@@ -195,7 +195,7 @@
                     let _ = out.send(answer.into_bytes());
                 }
             }
-            Start::Response(status)
+            StartLine::Response(status)
                 if status >= 200 && message.cseq().is_some_and(|(_, method)| method == "INVITE") =>
             {
                 request.answers.push((now, status));
--- a/src/iax2/front.rs
+++ b/src/iax2/front.rs
@@ -10,7 +10,7 @@
 use crate::config::Iax2Calls;
 use crate::core::{CallName, Cause, Clock, Description, FrontId, Input, Offer, Origin, ToFront};
 use crate::interface::Micros;
-use crate::net::owed::Owed;
+use crate::net::shared_count::SharedCount;
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasher, RandomState};
 use std::io;
@@ -387,7 +387,7 @@
 pub async fn run(
     mut front: Front,
     socket: UdpSocket,
-    owed: Owed,
+    owed: SharedCount,
     clock: Clock,
     core: mpsc::Sender<Input>,
     mut answers: mpsc::Receiver<ToFront>,
@@ -395,7 +395,7 @@
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut datagram = vec![0; DATAGRAM_MOST];
-    let mut debt = owed.debt();
+    let mut debt = owed.share();
     loop {
         tokio::select! {
             received = socket.recv_from(&mut datagram) => {
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,9 +9,9 @@
 use petreldock::fleet::task;
 use petreldock::iax2;
 use petreldock::interface::{Micros, Phase};
-use petreldock::net::doors::Doors;
-use petreldock::net::owed::Owed;
-use petreldock::net::{feed, hub, sip_server};
+use petreldock::net::connection_limit::ConnectionLimit;
+use petreldock::net::shared_count::SharedCount;
+use petreldock::net::{change_log_poller, hub, sip_server};
 use petreldock::{metrics, state, telemetry};
 use std::io;
 use std::net::SocketAddr;
@@ -123,11 +123,11 @@
     let (answers, to_front) = mpsc::channel(core::ANSWERS);
     let (status, watched) = watch::channel(Status::default());
     let operator = &config.operator;
-    let owed = Owed::default();
+    let owed = SharedCount::default();
     let connect = {
         let owed = owed.clone();
         let (inputs, limits, local) = (inputs.clone(), config.limits.clone(), operator.local());
-        let doors = Doors::new(limits.sockets);
+        let doors = ConnectionLimit::new(limits.sockets);
         Box::new(move |link, endpoint: &str| match endpoint.strip_prefix(IAX2).map(str::parse) {
             Some(Ok(hub)) => iax2::hub::start(link, local, hub, clock, inputs.clone()),
             _ => hub::start(link, endpoint, limits.clone(), &doors, &owed, clock, inputs.clone()),
@@ -160,7 +160,7 @@
     };
     let mut seq = 0;
     // Danger: a drain that stood in the list of the start was told long before, to another process perhaps.
-    let known = feed::inputs(config.known.clone(), &mut seq, Micros(0));
+    let known = change_log_poller::core_inputs(config.known.clone(), &mut seq, Micros(0));
     known.into_iter().for_each(|input| core.handle(clock.now(), input));
     let iax2_hub = |h: &Iax2Hub| Hub {
         uid: h.uid.clone(),
@@ -172,7 +172,7 @@
     core.fix(clock.now(), operator.iax2_hubs.iter().map(iax2_hub).collect());
     tokio::spawn(core::run(core, queue, clock));
     let (change_log, addresses) = watch::channel(config.change_log);
-    tokio::spawn(feed::run(addresses, seq, config.seed, clock, inputs.clone()));
+    tokio::spawn(change_log_poller::run(addresses, seq, config.seed, clock, inputs.clone()));
     tokio::spawn(reload(hangup, change_log));
     tokio::spawn(metrics::report_regularly());
     let sip_config = sip_server::Config {
@@ -259,7 +259,7 @@
     inputs: mpsc::Sender<Input>,
     clock: Clock,
     status: watch::Receiver<Status>,
-    owed: Owed,
+    owed: SharedCount,
     ending: Ending,
 ) {
     tracing::info!("ending");
--- a/src/net/binary.rs
+++ b/src/net/binary.rs
@@ -1,6 +1,6 @@
 //! The table hubs' binary messages: a length, a type, the call, and parameters.
 
-use super::buffer::MESSAGE_MOST;
+use super::buffer::MAX_MESSAGE_BYTES;
 use crate::config::Names;
 use crate::interface::Report;
 use winnow::binary::{be_u16, be_u64, length_take, u8};
@@ -100,7 +100,7 @@
 pub fn parse(input: &[u8]) -> Result<Option<Message<'_>>, Garbled> {
     let Some((length, rest)) = input.split_first_chunk::<2>() else { return Ok(None) };
     let length = usize::from(u16::from_be_bytes(*length));
-    if length < 9 || length + 2 > MESSAGE_MOST {
+    if length < 9 || length + 2 > MAX_MESSAGE_BYTES {
         return Err(Garbled);
     }
     let Some(content) = rest.get(..length) else { return Ok(None) };
@@ -114,7 +114,7 @@
 /// Writes a message. What would not fit is left out whole: `false`.
 pub fn write(out: &mut Vec<u8>, kind: u8, call: u64, parameters: &[(u8, &[u8])]) -> bool {
     let length = 9 + parameters.iter().map(|(_, v)| 3 + v.len()).sum::<usize>();
-    if length + 2 > MESSAGE_MOST {
+    if length + 2 > MAX_MESSAGE_BYTES {
         return false;
     }
     out.extend_from_slice(&(length as u16).to_be_bytes());
--- a/src/net/buffer.rs
+++ b/src/net/buffer.rs
@@ -1,13 +1,13 @@
-//! One connection's buffer: it grows as a message needs, and is compacted in place.
+//! A connection's read buffer, which grows on demand and is compacted in place.
 
 use std::io;
 use tokio::net::TcpStream;
 
-/// No message is longer.
-pub const MESSAGE_MOST: usize = 16 * 1024;
-const GROW: usize = 4 * 1024;
+/// The longest message that the SIP and binary parsers accept.
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
+const GROWTH_BYTES: usize = 4 * 1024;
 
-/// Bytes read and not yet used up.
+/// Bytes that were read and not yet consumed.
 #[derive(Debug, Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -15,23 +15,23 @@
 }
 
 impl Buffer {
-    /// What is held.
-    pub fn held(&self) -> &[u8] {
+    /// Returns the bytes that were not yet consumed.
+    pub fn unconsumed(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// Drops the first `count` bytes; memory that a long message took is given back.
+    /// Discards the first `count` bytes. Once all are consumed, memory that a long message took is released.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.bytes.len());
         if self.start == self.bytes.len() {
             self.bytes.clear();
             self.start = 0;
-            self.bytes.shrink_to(GROW);
+            self.bytes.shrink_to(GROWTH_BYTES);
         }
     }
 
-    /// Puts bytes in, as reading does.
-    pub fn put(&mut self, bytes: &[u8]) {
+    /// Appends bytes as if they had been read.
+    pub fn append(&mut self, bytes: &[u8]) {
         self.compact();
         self.bytes.extend_from_slice(bytes);
     }
@@ -44,11 +44,11 @@
         }
     }
 
-    /// Takes in what the socket has now; nought is its end. Waits for nothing.
+    /// Reads what the socket has without waiting, and returns the number of bytes; zero means end of stream.
     pub fn fill(&mut self, stream: &TcpStream) -> io::Result<usize> {
         self.compact();
-        if self.bytes.capacity() - self.bytes.len() < GROW / 2 {
-            self.bytes.reserve(GROW);
+        if self.bytes.capacity() - self.bytes.len() < GROWTH_BYTES / 2 {
+            self.bytes.reserve(GROWTH_BYTES);
         }
         stream.try_read_buf(&mut self.bytes)
     }
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -8,9 +8,9 @@
 mod messages;
 
 use super::binary::{self, kind, Message};
+use super::connection_limit::{self, ConnectionLimit, ConnectionPermit};
 use super::dial::dial;
-use super::doors::{self, Door, Doors};
-use super::owed::{Debt, Owed};
+use super::shared_count::{CountShare, SharedCount};
 use crate::config::Limits;
 use crate::core::{CallName, Cause, Clock, FromHub, Input, LinkId, SetUp, ToHub};
 use crate::interface::Micros;
@@ -77,7 +77,7 @@
     limits: Limits,
     clock: Clock,
     connections: Vec<Connection>,
-    dials: JoinSet<io::Result<(TcpStream, Door)>>,
+    dials: JoinSet<io::Result<(TcpStream, ConnectionPermit)>>,
     /// Set-ups that wait for a connection.
     waiting: VecDeque<SetUp>,
     /// Releases that wait for one.
@@ -96,8 +96,8 @@
     /// When the latest set-up began that came to stand, on whichever connection.
     answered_begun: Option<Instant>,
     news: Vec<FromHub>,
-    doors: doors::Link,
-    debt: Debt,
+    doors: connection_limit::LinkHandle,
+    debt: CountShare,
 }
 
 /// Starts a link's task; it ends at [`ToHub::Close`] or once the core is gone.
@@ -105,8 +105,8 @@
     id: LinkId,
     endpoint: &str,
     limits: Limits,
-    doors: &Arc<Doors>,
-    owed: &Owed,
+    doors: &Arc<ConnectionLimit>,
+    owed: &SharedCount,
     clock: Clock,
     core: mpsc::Sender<Input>,
 ) -> mpsc::Sender<ToHub> {
@@ -130,8 +130,8 @@
         resets: 0,
         answered_begun: None,
         news: Vec::new(),
-        doors: doors.link(),
-        debt: owed.debt(),
+        doors: doors.register_link(),
+        debt: owed.share(),
     };
     tokio::spawn(link.run(commands, core));
     sender
@@ -255,7 +255,7 @@
     /// Connections that are kept up: two, unless there are more hubs than descriptors. One where it is needed.
     fn kept(&self) -> usize {
         let needed = !self.waiting.is_empty() || !self.parked.is_empty() || !self.standing.is_empty();
-        self.doors.keeps(WANTED).max(usize::from(needed))
+        self.doors.allowance(WANTED).max(usize::from(needed))
     }
 
     fn dial(&mut self) {
@@ -267,7 +267,7 @@
             self.next_dial = None;
             let (address, limit) = (self.address, self.limits.dial_timeout);
             let silent = self.is_silent_with_calls(Instant::now());
-            let door = self.doors.open(!self.waiting.is_empty() || !self.parked.is_empty() || silent);
+            let door = self.doors.acquire(!self.waiting.is_empty() || !self.parked.is_empty() || silent);
             self.dials.spawn(async move {
                 let address = address.ok_or(io::ErrorKind::InvalidInput)?;
                 let door = door.await?;
@@ -284,7 +284,7 @@
         }
     }
 
-    fn dialled(&mut self, dialled: io::Result<(TcpStream, Door)>) {
+    fn dialled(&mut self, dialled: io::Result<(TcpStream, ConnectionPermit)>) {
         let now = Instant::now();
         match dialled {
             Ok((stream, door)) => {
@@ -393,7 +393,7 @@
     /// Asks whether the hub is there: dials, if need be in place of a connection that is silent and spare. Where all
     /// are open and none is spare, each has a set-up to which the hub owes an answer.
     fn ask(&mut self, now: Instant) {
-        if self.connections.len() >= CONNECTIONS || self.doors.full() {
+        if self.connections.len() >= CONNECTIONS || self.doors.is_exhausted() {
             self.close_silent(now, 1);
         }
         if self.connections.len() >= CONNECTIONS {
@@ -407,7 +407,7 @@
     /// service that refuses connections and says nothing owes a word all the same.
     fn ask_on_open_connections(&mut self, now: Instant, error: io::ErrorKind) {
         let refused = error == io::ErrorKind::ConnectionRefused;
-        let may_ask = refused || error == doors::NONE_LEFT;
+        let may_ask = refused || error == connection_limit::DESCRIPTORS_EXHAUSTED;
         if !may_ask || !self.is_silent_with_calls(now) || self.liveness.is_asked() {
             return;
         }
@@ -489,7 +489,7 @@
         }
         let spare_most = self.connections.len().saturating_sub(self.kept());
         // Danger: with more hubs than descriptors, what is idle here is missing elsewhere.
-        let idle_most = match (self.doors.pressed(), self.doors.full()) {
+        let idle_most = match (self.doors.has_waiters(), self.doors.is_exhausted()) {
             (true, _) => Duration::ZERO,
             (false, true) => SCARCE_IDLE,
             (false, false) => SPARE_IDLE,
@@ -539,7 +539,7 @@
         let (mut garbled, mut whole) = (false, false);
         let mut input = std::mem::take(&mut connection.input);
         loop {
-            match binary::parse(input.held()) {
+            match binary::parse(input.unconsumed()) {
                 Ok(Some(message)) => {
                     let bytes = message.bytes;
                     whole = true;
@@ -562,7 +562,7 @@
         }
         let Some(connection) = self.connections.get_mut(index) else { return false };
         let since = connection.partial.filter(|_| !whole).unwrap_or(connection.heard);
-        connection.partial = (!input.held().is_empty()).then_some(since);
+        connection.partial = (!input.unconsumed().is_empty()).then_some(since);
         connection.input = input;
         !garbled
     }
--- a/src/net/hub/connection.rs
+++ b/src/net/hub/connection.rs
@@ -6,7 +6,7 @@
 use crate::interface::Micros;
 use crate::net::binary::{self, code, kind};
 use crate::net::buffer::Buffer;
-use crate::net::doors::Door;
+use crate::net::connection_limit::ConnectionPermit;
 use crate::net::SDP;
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -61,7 +61,7 @@
     /// When a set-up began that was given up late, with nothing heard here since.
     pub(super) unheard: Option<Instant>,
     /// It counts among the connections of all links.
-    pub(super) _door: Door,
+    pub(super) _door: ConnectionPermit,
 }
 
 impl Connection {
@@ -70,7 +70,7 @@
         id: u64,
         stream: TcpStream,
         queue: VecDeque<Out>,
-        door: Door,
+        door: ConnectionPermit,
         now: Instant,
     ) -> Connection {
         Connection {
--- a/src/net/hub/liveness.rs
+++ b/src/net/hub/liveness.rs
@@ -64,7 +64,7 @@
     /// own, such as having no descriptor left, shows nothing of the hub.
     pub(super) fn dial_failed(&mut self, now: Instant, error: io::ErrorKind, open: bool) -> bool {
         use io::ErrorKind::{ConnectionRefused, HostUnreachable, NetworkUnreachable, TimedOut};
-        if error == crate::net::doors::NONE_LEFT {
+        if error == crate::net::connection_limit::DESCRIPTORS_EXHAUSTED {
             return false;
         }
         let failing = now - *self.failing_since.get_or_insert(now);
--- a/src/net/hub/liveness/tests.rs
+++ b/src/net/hub/liveness/tests.rs
@@ -1,7 +1,7 @@
 //! What failed dials, silence and unanswered questions show.
 
 use super::*;
-use crate::net::doors::NONE_LEFT;
+use crate::net::connection_limit::DESCRIPTORS_EXHAUSTED;
 use io::ErrorKind::{ConnectionRefused, Other, TimedOut};
 
 const SHORT: Duration = Duration::from_millis(600);
@@ -23,7 +23,7 @@
     assert!(!is_dead(TimedOut, false, SHORT, SHORT) && is_dead(TimedOut, false, LONG, SHORT));
     assert!(!is_dead(TimedOut, true, LONG, SHORT) && is_dead(TimedOut, true, SHORT, LONG));
     assert!(!is_dead(Other, false, LONG, LONG), "an error of our own");
-    assert!(!is_dead(NONE_LEFT, false, LONG, LONG), "no descriptor left");
+    assert!(!is_dead(DESCRIPTORS_EXHAUSTED, false, LONG, LONG), "no descriptor left");
 }
 
 #[test]
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,12 +2,12 @@
 
 pub mod binary;
 pub mod buffer;
+pub mod change_log_poller;
+pub mod connection_limit;
 pub mod dial;
-pub mod doors;
-pub mod feed;
 pub mod http;
 pub mod hub;
-pub mod owed;
+pub mod shared_count;
 pub mod sip;
 pub mod sip_server;
 
--- /dev/null
+++ b/src/net/shared_count.rs
@@ -0,0 +1,46 @@
+//! A count that several tasks contribute to, and from which each contribution leaves with its task.
+//!
+//! It tracks the work that must be finished before the program ends: requests without an answer, answers not yet
+//! written, and releases and give-ups that no hub has been told yet.
+
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Arc;
+
+/// The sum of all contributions.
+#[derive(Clone, Debug, Default)]
+pub struct SharedCount(Arc<AtomicUsize>);
+
+impl SharedCount {
+    /// Returns the current sum.
+    pub fn count(&self) -> usize {
+        self.0.load(Ordering::Relaxed)
+    }
+
+    /// Adds a contribution that starts at zero.
+    pub fn share(&self) -> CountShare {
+        CountShare { total: self.clone(), value: 0 }
+    }
+}
+
+/// One task's contribution, which is withdrawn on drop.
+#[derive(Debug)]
+pub struct CountShare {
+    total: SharedCount,
+    value: usize,
+}
+
+impl CountShare {
+    /// Replaces the contribution.
+    pub fn set(&mut self, value: usize) {
+        // The old value is subtracted last, so that the sum never reads lower than it is.
+        self.total.0.fetch_add(value, Ordering::Relaxed);
+        self.total.0.fetch_sub(self.value, Ordering::Relaxed);
+        self.value = value;
+    }
+}
+
+impl Drop for CountShare {
+    fn drop(&mut self) {
+        self.set(0);
+    }
+}
--- a/src/net/sip_server/connection.rs
+++ b/src/net/sip_server/connection.rs
@@ -9,9 +9,9 @@
 use super::Server;
 use crate::core::{CallName, Cause, Input, Origin, ToFront};
 use crate::interface::Micros;
-use crate::net::buffer::{Buffer, MESSAGE_MOST};
-use crate::net::owed::Debt;
-use crate::net::sip::{self, Malformed, Start};
+use crate::net::buffer::{Buffer, MAX_MESSAGE_BYTES};
+use crate::net::shared_count::CountShare;
+use crate::net::sip::{self, Malformed, StartLine};
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::sync::Arc;
@@ -88,7 +88,7 @@
     held: Held,
     /// A part of a flood was handed on: its answers come before more is read.
     handed_part: bool,
-    debt: Debt,
+    debt: CountShare,
 }
 
 /// Serves one connection to its end.
@@ -115,7 +115,7 @@
         ending: false,
         held: Held::new(&server.held),
         handed_part: false,
-        debt: server.owed.debt(),
+        debt: server.owed.share(),
     };
     let end = connection.run(&stream, &mut commands).await;
     let lingers = matches!(end, End::Ours);
@@ -165,7 +165,7 @@
         return;
     }
     while left > 0 && stream.readable().await.is_ok() {
-        input.consume(input.held().len());
+        input.consume(input.unconsumed().len());
         match input.fill(&stream) {
             Ok(0) => return,
             Ok(count) => left = left.saturating_sub(count),
@@ -180,7 +180,7 @@
     fn owes(&self) -> usize {
         self.open.len()
             + usize::from(!self.output.is_empty())
-            + usize::from(!self.input.held().is_empty())
+            + usize::from(!self.input.unconsumed().is_empty())
             + usize::from(!self.held.is_empty())
     }
 
@@ -194,7 +194,7 @@
                 self.fail_open().await;
             }
             let (busy, carries) = (!self.open.is_empty(), self.carried > 0);
-            let half = !self.input.held().is_empty();
+            let half = !self.input.unconsumed().is_empty();
             let idle_at = self.used + if carries { IDLE_WITH_CALLS } else { IDLE };
             let whole_by = self.half_since.map(|since| since + WHOLE);
             match stream.try_write(&self.output) {
@@ -431,11 +431,11 @@
         let mut input = std::mem::take(&mut self.input);
         let mut whole = false;
         while !self.ending {
-            input.consume(sip::empty_lines(input.held()));
-            let bytes = match sip::parse(input.held()) {
+            input.consume(sip::leading_line_breaks_len(input.unconsumed()));
+            let bytes = match sip::parse(input.unconsumed()) {
                 Ok(Some(message)) => {
                     whole = true;
-                    self.spoke |= matches!(message.start, Start::Request(method, _) if method != "ACK");
+                    self.spoke |= matches!(message.start, StartLine::Request(method, _) if method != "ACK");
                     self.message(&message, arrived, inputs);
                     message.bytes
                 }
@@ -445,16 +445,16 @@
                     self.ending = bytes == 0;
                     bytes
                 }
-                Err(Malformed::Lost) => {
+                Err(Malformed::Unrecoverable) => {
                     self.ending = true;
                     0
                 }
             };
             input.consume(bytes);
         }
-        debug_assert!(self.ending || input.held().len() <= MESSAGE_MOST);
+        debug_assert!(self.ending || input.unconsumed().len() <= MAX_MESSAGE_BYTES);
         let since = self.half_since.filter(|_| !whole || !self.spoke).unwrap_or(self.used);
-        self.half_since = (!input.held().is_empty() || !self.spoke).then_some(since);
+        self.half_since = (!input.unconsumed().is_empty() || !self.spoke).then_some(since);
         self.input = input;
     }
 }
--- a/src/net/sip_server/connection/held.rs
+++ b/src/net/sip_server/connection/held.rs
@@ -1,7 +1,7 @@
 //! What a connection has taken in and not handed on to the core yet, because its socket has more.
 
 use crate::core::Input;
-use crate::net::owed::{Debt, Owed};
+use crate::net::shared_count::{CountShare, SharedCount};
 
 /// What was taken in is handed on once it is so many bytes on the wire, even if the socket has more. Half more than
 /// a socket takes by default while nobody reads it: what came long before a departure is held until that is read.
@@ -16,14 +16,14 @@
     /// Bytes on the wire that were taken in since something was handed on.
     bytes: usize,
     /// What all connections hold, and this one's part of it.
-    all: Owed,
-    share: Debt,
+    all: SharedCount,
+    share: CountShare,
 }
 
 impl Held {
     /// Nothing yet. `all`: what all connections hold.
-    pub fn new(all: &Owed) -> Held {
-        Held { inputs: Vec::new(), bytes: 0, all: all.clone(), share: all.debt() }
+    pub fn new(all: &SharedCount) -> Held {
+        Held { inputs: Vec::new(), bytes: 0, all: all.clone(), share: all.share() }
     }
 
     /// Counts bytes that were read, before what they mean is stored.
--- a/src/net/sip_server/connection/held/tests.rs
+++ b/src/net/sip_server/connection/held/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn one_connection_holds_no_more_than_its_bound_till_it_has_handed_on() {
-    let all = Owed::default();
+    let all = SharedCount::default();
     let mut held = Held::new(&all);
     held.count(MAX_HELD - 1);
     assert!(held.has_room());
@@ -17,7 +17,7 @@
 
 #[test]
 fn all_connections_together_hold_no_more_than_their_bound() {
-    let all = Owed::default();
+    let all = SharedCount::default();
     let count = MAX_HELD_IN_ALL / (MAX_HELD / 2);
     let mut many: Vec<Held> = (0..=count).map(|_| Held::new(&all)).collect();
     many.iter_mut().for_each(|held| held.count(MAX_HELD / 2));
--- a/src/net/sip_server/connection/messages.rs
+++ b/src/net/sip_server/connection/messages.rs
@@ -4,7 +4,7 @@
 use crate::core::{CallName, Cause, Description, Input, Offer, Origin, ToFront};
 use crate::interface::Micros;
 use crate::metrics;
-use crate::net::sip::{self, Message, Start};
+use crate::net::sip::{self, Message, StartLine};
 use crate::net::sip_server::release_tracker::Release;
 use crate::net::sip_server::MAX_OPEN;
 use crate::net::SDP;
@@ -17,14 +17,14 @@
 impl Connection {
     /// Acts on one message. `arrived`: when its last byte came.
     pub(super) fn message(&mut self, message: &Message, arrived: Micros, inputs: &mut Vec<Input>) {
-        let Start::Request(method, uri) = message.start else {
+        let StartLine::Request(method, uri) = message.start else {
             if let (Some((_, "BYE")), Some(call)) = (message.cseq(), call_name(message)) {
                 self.releases.confirmed(call);
             }
             return;
         };
         let (id, origin) = (self.server.id, Origin(self.number));
-        let headers = message.repeated();
+        let headers = message.response_headers();
         let call = call_name(message);
         match (method, call) {
             ("ACK", _) => {}
@@ -83,7 +83,7 @@
 
     /// The set-up that an INVITE holds.
     fn offer(&self, message: &Message, uri: &str, call: CallName, arrived: Micros) -> Result<Offer, ()> {
-        let within = message.number("Answer-Within").map_err(drop)?;
+        let within = message.numeric_header("Answer-Within").map_err(drop)?;
         let data = message.header("Routing-Data").unwrap_or("");
         let figure = |name: &str| {
             let mut parts = data.split(';').filter_map(|p| p.split_once(':'));
@@ -156,7 +156,7 @@
         let (id, reason) = (format!("{:016x}", release.call.0), format!("Q.850;cause={}", release.cause.0));
         let via = format!("SIP/2.0/TCP {listen};branch=z9hG4bK{id}bye");
         let party = format!("<sip:petreldock@{listen}>;tag={:x}", self.server.id.0 + 1);
-        sip::request(
+        sip::write_request(
             &mut self.output,
             "BYE",
             "sip:caller@net",
@@ -183,7 +183,7 @@
         body: &[u8],
     ) {
         let tag = format!("{:x}", self.number);
-        sip::respond(&mut self.output, status, headers, &tag, more, body);
+        sip::write_response(&mut self.output, status, headers, &tag, more, body);
     }
 }
 
--- a/src/net/sip_server/mod.rs
+++ b/src/net/sip_server/mod.rs
@@ -6,7 +6,7 @@
 
 use self::registry::ConnectionRegistry;
 use crate::core::{Cause, Clock, FrontId, Input, Status, ToFront};
-use crate::net::owed::Owed;
+use crate::net::shared_count::SharedCount;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -30,9 +30,9 @@
     core: mpsc::Sender<Input>,
     status: watch::Receiver<Status>,
     registry: Mutex<ConnectionRegistry>,
-    owed: Owed,
+    owed: SharedCount,
     /// Bytes that connections have taken in and not handed on to the core yet.
-    held: Owed,
+    held: SharedCount,
     max_connections: usize,
 }
 
@@ -65,7 +65,7 @@
     /// How the core is.
     pub status: watch::Receiver<Status>,
     /// Where it says what it owes its callers.
-    pub owed: Owed,
+    pub owed: SharedCount,
 }
 
 /// Serves callers for ever.
@@ -79,7 +79,7 @@
     // Callers hold a third of the descriptors; more are let in as long as the rest is not needed.
     let max_connections = sockets / 2;
     let registry = Mutex::default();
-    let held = Owed::default();
+    let held = SharedCount::default();
     let server = Arc::new(Server { id, listen, clock, core, status, registry, owed, held, max_connections });
     let deliverer = server.clone();
     tokio::spawn(async move {
--- a/tests/common/peers.rs
+++ b/tests/common/peers.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use petreldock::net::binary::{self, code, kind};
-use petreldock::net::sip::{self, Start};
+use petreldock::net::sip::{self, StartLine};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -255,11 +255,11 @@
         while let Ok(Some(message)) = sip::parse(&self.input) {
             let call = message.header("Call-ID").and_then(|v| u64::from_str_radix(v, 16).ok()).unwrap_or(0);
             let said = match message.start {
-                Start::Request(_, _) => {
+                StartLine::Request(_, _) => {
                     let reason = message.header("Reason").and_then(sip::cause).unwrap_or(0);
                     Said::Bye(call, reason)
                 }
-                Start::Response(status) => match message.cseq() {
+                StartLine::Response(status) => match message.cseq() {
                     Some((_, "INVITE")) => {
                         let away = message.header("Come-Back-Ms").and_then(|v| v.parse().ok());
                         Said::Answer(call, status, away, message.body.to_vec())
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -8,7 +8,7 @@
 use petreldock::core::*;
 use petreldock::interface::*;
 use petreldock::learning::{Ageing, Identity, Kept, Memory, Picture};
-use petreldock::net::feed;
+use petreldock::net::change_log_poller;
 use std::sync::{Arc, Mutex};
 use tokio::sync::{mpsc, watch};
 
@@ -61,7 +61,7 @@
         let (status, watched) = watch::channel(Status::default());
         let core = Core::new(&config, vec![sender], connect, status, Micros(START)).expect("sane");
         let mut desk = Desk { core, front, links, status: watched, now: START };
-        for input in feed::inputs(config.known, &mut 0, Micros(0)) {
+        for input in change_log_poller::core_inputs(config.known, &mut 0, Micros(0)) {
             desk.tell(input);
         }
         desk
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -11,7 +11,7 @@
 
 use peers::{any_address, invitation, request, until, Caller, Program, ReservedAddress, Said, HUB_BODY};
 use petreldock::net::binary::{self, code, kind};
-use petreldock::net::doors;
+use petreldock::net::connection_limit;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -621,8 +621,12 @@
     });
     sleep(Duration::from_millis(1_200));
     let own = gauge.most() - inherited();
-    println!("of its own: {own} descriptors of {}", doors::OWN);
-    assert!(own > 3 && own < doors::OWN, "{own} of {}, and one more to accept with", doors::OWN);
+    println!("of its own: {own} descriptors of {}", connection_limit::RESERVED_DESCRIPTORS);
+    assert!(
+        own > 3 && own < connection_limit::RESERVED_DESCRIPTORS,
+        "{own} of {}, and one more to accept with",
+        connection_limit::RESERVED_DESCRIPTORS
+    );
     drop(program);
     std::fs::remove_dir_all(folder).expect("removed");
 }
@@ -633,7 +637,7 @@
     let (operator, folder) = all_on();
     comes_back(256, Down::Refusing, &ALL_IDLE, true, &operator);
     // As many hubs as there are descriptors for them.
-    many_hubs(256 / 2 - doors::OWN, &operator);
+    many_hubs(256 / 2 - connection_limit::RESERVED_DESCRIPTORS, &operator);
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
@@ -739,7 +743,7 @@
 #[test]
 fn hubs_that_are_added_take_nothing_from_the_rest() {
     const SOCKETS: usize = 256;
-    const BEFORE: usize = (SOCKETS / 2 - doors::OWN) / 2;
+    const BEFORE: usize = (SOCKETS / 2 - connection_limit::RESERVED_DESCRIPTORS) / 2;
     const HUBS: usize = 2 * BEFORE;
     let _alone = alone();
     let background = Background::new();
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -4,7 +4,7 @@
 mod site;
 
 use petreldock::core::{Clock, Input, News};
-use petreldock::net::feed;
+use petreldock::net::change_log_poller;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -48,7 +48,7 @@
     let (_address, addresses) = watch::channel(listener.local_addr().ok());
     let (inputs, mut news) = mpsc::channel(16);
     let clock = Clock::system();
-    tokio::spawn(feed::run(addresses, 1, 7, clock, inputs));
+    tokio::spawn(change_log_poller::run(addresses, 1, 7, clock, inputs));
     let event = site::event(2, false, &[site::target("b", "10.0.0.2:1", 1, "in_service")]);
     let answer = answer(&format!(r#"{{"seq":2,"results":[{event}]}}"#));
     let start = Instant::now();
@@ -84,7 +84,7 @@
     let (_address, addresses) = watch::channel(listener.local_addr().ok());
     let (inputs, mut news) = mpsc::channel(16);
     let clock = Clock::system();
-    tokio::spawn(feed::run(addresses, 1, 7, clock, inputs));
+    tokio::spawn(change_log_poller::run(addresses, 1, 7, clock, inputs));
     let (mut stream, text) = request(&listener).await;
     assert!(text.contains("timeout=0 "), "{text}");
     let nothing = r#"{"seq":1,"results":[]}"#;
--- a/tests/front/server.rs
+++ b/tests/front/server.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use petreldock::core::*;
-use petreldock::net::owed::Owed;
+use petreldock::net::shared_count::SharedCount;
 use petreldock::net::sip_server;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -19,7 +19,7 @@
     pub address: SocketAddr,
     pub inputs: mpsc::Receiver<Input>,
     pub answers: mpsc::Sender<ToFront>,
-    pub owed: Owed,
+    pub owed: SharedCount,
     _status: watch::Sender<Status>,
 }
 
@@ -39,7 +39,7 @@
         let (core, inputs) = mpsc::channel(QUEUE);
         let (answers, to_front) = mpsc::channel(ANSWERS);
         let (sender, status) = watch::channel(Status { settled: true, ..Status::default() });
-        let owed = Owed::default();
+        let owed = SharedCount::default();
         let (id, sockets, clock) = (FrontId(0), 1024, Clock::system());
         let config = sip_server::Config { id, sockets, clock, core, status, owed: owed.clone() };
         tokio::spawn(sip_server::run(config, listener, to_front));
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use petreldock::core::*;
 use petreldock::interface::Micros;
-use petreldock::net::doors::Doors;
-use petreldock::net::owed::Owed;
+use petreldock::net::connection_limit::ConnectionLimit;
+use petreldock::net::shared_count::SharedCount;
 use petreldock::net::{binary, hub, SDP};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -48,8 +48,8 @@
         LinkId(1),
         &endpoint,
         site::config(&[]).limits,
-        &Doors::new(1024),
-        &Owed::default(),
+        &ConnectionLimit::new(1024),
+        &SharedCount::default(),
         clock,
         inputs,
     );
@@ -185,8 +185,8 @@
             LinkId(1),
             &endpoint,
             site::config(&[]).limits,
-            &Doors::new(1024),
-            &Owed::default(),
+            &ConnectionLimit::new(1024),
+            &SharedCount::default(),
             clock,
             inputs,
         );
@@ -471,9 +471,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let endpoint = listener.local_addr().expect("an address").to_string();
     let (inputs, mut news) = mpsc::channel(QUEUE);
-    let (clock, owed) = (Clock::system(), Owed::default());
+    let (clock, owed) = (Clock::system(), SharedCount::default());
     let limits = site::config(&[]).limits;
-    let commands = hub::start(LinkId(1), &endpoint, limits, &Doors::new(1024), &owed, clock, inputs);
+    let commands =
+        hub::start(LinkId(1), &endpoint, limits, &ConnectionLimit::new(1024), &owed, clock, inputs);
     let (mut hub, _) = timeout(PATIENCE, listener.accept()).await.expect("dialled").expect("accepted");
     let bytes = Bytes::from(vec![b'v'; 8 * 1024]);
     for call in 0..SET_UPS {
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -6,7 +6,7 @@
 use garble::feed;
 use petreldock::config::{self, At};
 use petreldock::iax2::frame::{self, element, iax, kind, put, Elements, Frame, Full};
-use petreldock::net::sip::{Malformed, Start};
+use petreldock::net::sip::{Malformed, StartLine};
 use petreldock::net::{binary, http, sip};
 
 const INVITE: &str = "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\n\
@@ -27,7 +27,7 @@
 #[test]
 fn sip_messages_are_read() {
     let message = sip::parse(INVITE.as_bytes()).expect("valid").expect("whole");
-    assert_eq!(message.start, Start::Request("INVITE", "sip:7f3a9c21e0b4d655@net"));
+    assert_eq!(message.start, StartLine::Request("INVITE", "sip:7f3a9c21e0b4d655@net"));
     assert_eq!((message.header("call-kind"), message.cseq()), (Some("voice"), Some((1, "INVITE"))));
     assert_eq!(message.body, b"v=0\r\n\n");
     assert_eq!(sip::user("sip:7f3a:pw@net;x=1"), Some("7f3a"));
@@ -55,7 +55,7 @@
         "SIP/2.0 99999 x\r\nCall-ID: 1\r\nCSeq: 1 BYE\r\n\r\n".into(),
         "x".repeat(17_000),
     ] {
-        assert_eq!(sip::parse(lost.as_bytes()), Err(Malformed::Lost), "{lost}");
+        assert_eq!(sip::parse(lost.as_bytes()), Err(Malformed::Unrecoverable), "{lost}");
     }
 }
 
@@ -102,11 +102,11 @@
         Err(_) => Err(()),
     });
     let read = http::parse(chunked.as_bytes(), false).expect("valid").expect("whole");
-    assert_eq!((read.status, &read.body[..], read.keep), (200, &b"{\"seq\":4}"[..], true));
+    assert_eq!((read.status, &read.body[..], read.keep_alive), (200, &b"{\"seq\":4}"[..], true));
     let bare = b"HTTP/1.0 200 OK\r\n\r\n{}";
     assert_eq!(http::parse(bare, false), Ok(None));
     let read = http::parse(bare, true).expect("valid").expect("ended");
-    assert_eq!((&read.body[..], read.keep), (&b"{}"[..], false));
+    assert_eq!((&read.body[..], read.keep_alive), (&b"{}"[..], false));
     assert!(http::parse(&plain.as_bytes()[..50], true).is_err(), "a body cut short is no answer");
 }
 
--- a/tests/silent_callers.rs
+++ b/tests/silent_callers.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use petreldock::core::{CallName, Cause, Description, Origin, ToFront};
 use petreldock::net::binary::{code, kind};
-use petreldock::net::sip::{self, Start};
+use petreldock::net::sip::{self, StartLine};
 use petreldock::net::SDP;
 use server::{message, TestServer};
 use std::io::{Read, Write};
@@ -65,12 +65,12 @@
         let (mut used, mut calls) = (0, Vec::new());
         while let Ok(Some(message)) = sip::parse(&self.input[used..]) {
             match message.start {
-                Start::Request("BYE", _) => {
+                StartLine::Request("BYE", _) => {
                     let id = message.header("Call-ID").expect("a call");
                     calls.push(u64::from_str_radix(id, 16).expect("a number"));
                 }
-                Start::Request(..) => panic!("nothing but BYE is sent to callers"),
-                Start::Response(_) => self.responses += 1,
+                StartLine::Request(..) => panic!("nothing but BYE is sent to callers"),
+                StartLine::Response(_) => self.responses += 1,
             }
             used += message.bytes;
         }
