--- a/src/net/change_log_poller.rs
+++ b/src/net/change_log_poller.rs
@@ -24,7 +24,7 @@
 /// events for longer than they may go unnoticed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Delay before the second retry after a failure; the first is made at once. It doubles with each further failure, up
-/// to [`MAX_RETRY_DELAY`].
+/// to [`MAX_RETRY_DELAY`]. It also spaces polls where the change log responds at once although it has no events.
 const INITIAL_RETRY_DELAY: Micros = Micros(50_000);
 /// The longest delay between retries. Each delay is shortened by a random part of up to half, as all session
 /// controllers lose the change log at the same instant.
--- a/src/net/shared_count.rs
+++ b/src/net/shared_count.rs
@@ -1,7 +1,7 @@
-//! A count that several tasks contribute to, and from which each contribution leaves with its task.
+//! A count that several tasks contribute to. A task's contribution is withdrawn when the task ends.
 //!
-//! It tracks the work that must be finished before the program ends: requests without an answer, answers not yet
-//! written, and releases and give-ups that no hub has been told yet.
+//! The program ends once the count of pending work is zero: requests without an answer, answers not yet written, and
+//! releases and give-ups that no hub has been told yet. The SIP server also counts the bytes that its connections hold.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 impl CountShare {
     /// Replaces the contribution.
     pub fn set(&mut self, value: usize) {
-        // The old value is subtracted last, so that the sum never reads lower than it is.
+        // Adds before it subtracts, so that a concurrent reader never misses the contribution.
         self.total.0.fetch_add(value, Ordering::Relaxed);
         self.total.0.fetch_sub(self.value, Ordering::Relaxed);
         self.value = value;
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -196,7 +196,7 @@
     (status, phrase): (u16, &str),
     headers: &[(String, String)],
     tag: &str,
-    more: &[(&str, &str)],
+    extra_headers: &[(&str, &str)],
     body: &[u8],
 ) {
     let mut head = format!("SIP/2.0 {status} {phrase}\r\n");
@@ -207,7 +207,7 @@
             false => write!(head, "{name}: {value};tag={tag}\r\n"),
         };
     }
-    write_headers_and_body(out, head, more, body);
+    write_headers_and_body(out, head, extra_headers, body);
 }
 
 /// Writes a request without a body.
