--- a/src/net/sip_server/connection.rs
+++ b/src/net/sip_server/connection.rs
@@ -1,9 +1,9 @@
-//! One connection of callers: its socket, its limits, and what is still owed when it ends.
+//! One caller connection: its socket, its limits, and what has to be released when it closes.
 
-mod held;
 mod messages;
+mod pending_inputs;
 
-use self::held::Held;
+use self::pending_inputs::PendingInputs;
 use super::registry::Command;
 use super::release_tracker::ReleaseTracker;
 use super::Server;
@@ -20,78 +20,86 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout, Duration, Instant};
 
-/// A caller that lets so much pile up does not read: its connection is closed.
-const MAX_OUTPUT: usize = 64 * 1024;
-/// A connection without an open set-up is closed after this if no call that was answered there stands:
-/// callers close theirs after 4 s,
-const IDLE: Duration = Duration::from_secs(5);
-/// ... else after this: its releases would have to go elsewhere.
-const IDLE_WITH_CALLS: Duration = Duration::from_secs(30);
-/// A message comes whole within this, the first one counted from the connection's start.
-const WHOLE: Duration = Duration::from_secs(2);
-/// A connection that we end is read on for so long, and for so many bytes, once it is shut for writing. Danger:
-/// a close with unread input resets the connection, and the last answer on it can be lost.
-const LINGER: Duration = Duration::from_millis(300);
+/// Bytes of unsent output above which the connection is closed, because its caller does not read.
+const MAX_OUTPUT_BYTES: usize = 64 * 1024;
+/// Idle time after which a connection without open set-ups and without answered calls is closed. Callers close theirs
+/// after 4 s.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Idle time after which a connection without open set-ups, but with answered calls, is closed. It is longer because
+/// the releases of these calls would have to be sent on another connection.
+const IDLE_WITH_CALLS_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time within which a message must be complete. For the first one it starts with the connection. A closing connection
+/// also has this long to write its remaining output.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a connection that the server closes is still read after it was shut for writing. Closing a socket with
+/// unread input resets the connection, which can destroy the last response on its way to the caller.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum number of bytes read in that time.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// One look takes in so much of a connection at most: a flood on one starves no other.
-const MAX_FILLS: usize = 8;
-/// Turns that a connection leaves to other tasks, at most, for the core to take in a part of a flood ...
-const MAX_CORE_TURNS: usize = 16;
-/// ... and once it has, for its answers to arrive here before more is read.
-const ANSWER_TURNS: usize = 3;
+/// Maximum number of socket reads in one pass, so that a flood on one connection does not starve the others.
+const MAX_READS_PER_PASS: usize = 8;
+/// Maximum number of times a connection yields for the core to process one part of a flood.
+const MAX_CORE_YIELDS: usize = 16;
+/// Number of times it yields after that, for the core's answers to arrive before more is read.
+const ANSWER_YIELDS: usize = 3;
 
-/// Who ends a connection.
-enum End {
-    /// Its caller did, or there is nothing on it that could be lost.
-    Gone,
-    /// The server does, after a last word.
-    Ours,
+/// How a connection is closed.
+enum CloseMode {
+    /// At once: it failed or is idle, or its caller closed it or does not read.
+    Immediate,
+    /// By the server after its last response was written: it is shut for writing and still read for a short time.
+    Lingering,
 }
 
-/// What a look at a connection's socket brought.
-enum Look {
-    Nothing,
-    Taken,
-    Ended,
+/// Result of reading a connection's socket.
+enum ReadOutcome {
+    /// There was no data to read.
+    NoData,
+    /// Data was read.
+    Data,
+    /// The caller closed the connection, or reading failed.
+    Closed,
 }
 
-/// A set-up that is open on a connection.
-struct Open {
+/// A set-up that has no final response yet.
+struct OpenSetUp {
+    /// The request headers that its responses repeat.
     headers: Vec<(String, String)>,
 }
 
-/// One connection of callers.
+/// State of one caller connection.
 struct Connection {
     server: Arc<Server>,
     number: u64,
     input: Buffer,
     output: Vec<u8>,
-    open: HashMap<CallName, Open>,
-    /// Bytes written so far.
-    written: u64,
-    /// Answers that stand in the output, with how many bytes will be written once they are.
-    answers: VecDeque<(u64, CallName)>,
-    /// Releases written or to be written, till their 200 comes.
+    open_set_ups: HashMap<CallName, OpenSetUp>,
+    /// Total number of bytes written.
+    bytes_written: u64,
+    /// Answers in the output that are not written yet, each with the total number of bytes written once it is.
+    unwritten_answers: VecDeque<(u64, CallName)>,
+    /// Releases whose 200 has not been received.
     releases: ReleaseTracker,
-    /// When something was last read.
-    heard: Option<Instant>,
-    /// Calls answered here that stand, as far as is seen here: their BYE may come on another connection.
-    carried: usize,
-    /// A request came that is owed an answer.
-    spoke: bool,
-    /// Since when a message is awaited that is not whole; at first since the connection's start.
-    half_since: Option<Instant>,
-    used: Instant,
-    /// No more is read; the connection ends once all is written.
-    ending: bool,
-    /// Taken in and not handed on yet.
-    held: Held,
-    /// A part of a flood was handed on: its answers come before more is read.
-    handed_part: bool,
-    debt: Debt,
+    /// When data was last read.
+    last_received: Option<Instant>,
+    /// Number of calls answered on this connection and not released, as far as is known here: a BYE for one of them may
+    /// come on another connection.
+    answered_calls: usize,
+    /// A request that requires a response (any but ACK) was received.
+    received_request: bool,
+    /// Since when an incomplete message has been awaited; initially since the connection was accepted.
+    partial_since: Option<Instant>,
+    last_used: Instant,
+    /// NoData more is read, and the connection closes once the output is written.
+    is_closing: bool,
+    /// Inputs parsed and not yet sent to the core.
+    pending: PendingInputs,
+    /// Part of a flood was sent to the core, whose answers are awaited before more is read.
+    sent_part: bool,
+    outstanding: Debt,
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it closes, and then releases or withdraws the calls that it leaves behind.
 pub async fn serve(
     server: Arc<Server>,
     number: u64,
@@ -103,72 +111,81 @@
         number,
         input: Buffer::default(),
         output: Vec::new(),
-        open: HashMap::new(),
-        written: 0,
-        answers: VecDeque::new(),
+        open_set_ups: HashMap::new(),
+        bytes_written: 0,
+        unwritten_answers: VecDeque::new(),
         releases: ReleaseTracker::new(number),
-        heard: None,
-        carried: 0,
-        spoke: false,
-        half_since: Some(Instant::now()),
-        used: Instant::now(),
-        ending: false,
-        held: Held::new(&server.held),
-        handed_part: false,
-        debt: server.owed.debt(),
+        last_received: None,
+        answered_calls: 0,
+        received_request: false,
+        partial_since: Some(Instant::now()),
+        last_used: Instant::now(),
+        is_closing: false,
+        pending: PendingInputs::new(&server.pending_bytes),
+        sent_part: false,
+        outstanding: server.owed.debt(),
     };
-    let end = connection.run(&stream, &mut commands).await;
-    let lingers = matches!(end, End::Ours);
-    let open = connection.open.len();
-    tracing::debug!(connection = number, by_us = lingers, open, "caller's connection ended");
+    let mode = connection.run(&stream, &mut commands).await;
+    let lingers = matches!(mode, CloseMode::Lingering);
+    let open = connection.open_set_ups.len();
+    tracing::debug!(connection = number, by_us = lingers, open, "caller connection closed");
     server.registry().remove(number, lingers);
     commands.close();
-    connection.abandon_held().await;
-    let unsent = connection.write_refusals(&stream, &mut commands).await;
-    let Connection { open, written, answers, releases, mut input, mut debt, .. } = connection;
-    let mut calls: Vec<CallName> = open.into_keys().collect();
+    connection.flush_pending().await;
+    let unsent = connection.write_last_refusals(&stream, &mut commands).await;
+    let Connection {
+        open_set_ups,
+        bytes_written,
+        unwritten_answers,
+        releases,
+        mut input,
+        mut outstanding,
+        ..
+    } = connection;
+    let mut calls: Vec<CallName> = open_set_ups.into_keys().collect();
     calls.sort();
     for call in calls {
-        server.tell_core(Input::Withdrawn(server.id, Origin(number), call)).await;
+        server.send_to_core(Input::Withdrawn(server.id, Origin(number), call)).await;
     }
-    // Danger: an answer of which the caller never got the last byte is none, and its hub holds the call.
-    for (_, call) in answers.into_iter().filter(|(end, _)| *end > written) {
-        server.tell_core(Input::Hangup(server.id, call, Cause::NORMAL)).await;
+    // The caller never received these answers whole, so their calls are hung up at the hub, which considers them up.
+    for (_, call) in unwritten_answers.into_iter().filter(|(end, _)| *end > bytes_written) {
+        server.send_to_core(Input::Hangup(server.id, call, Cause::NORMAL)).await;
     }
-    for release in releases.end(Instant::now()) {
+    for release in releases.on_close(Instant::now()) {
         server.registry().release(release);
     }
     for command in unsent {
         match command {
-            Command::Core(ToFront::Answer(_, call, _)) => {
-                server.tell_core(Input::Hangup(server.id, call, Cause::NORMAL)).await;
+            Command::FromCore(ToFront::Answer(_, call, _)) => {
+                server.send_to_core(Input::Hangup(server.id, call, Cause::NORMAL)).await;
             }
-            Command::Core(release @ ToFront::Release(..)) => {
+            Command::FromCore(release @ ToFront::Release(..)) => {
                 server.registry().route(release);
             }
             Command::Release(release) => server.registry().release(release),
             _ => {}
         }
     }
-    // Danger: the program's end would reset it with what is unread, and the last word is not heard yet.
-    debt.set(usize::from(lingers));
+    // Counts as outstanding work: if the process exited now, unread input would reset the connection, and the caller
+    // might not have received the last response.
+    outstanding.set(usize::from(lingers));
     if lingers {
-        let _ = timeout(LINGER, linger(stream, &mut input)).await;
+        let _ = timeout(LINGER_TIMEOUT, drain_socket(stream, &mut input)).await;
         server.registry().lingering -= 1;
     }
 }
 
-/// Shuts a connection for writing, and reads what still comes, to no effect, till the caller ends it too.
-async fn linger(mut stream: TcpStream, input: &mut Buffer) {
-    let mut left = MAX_LINGER_BYTES;
+/// Shuts a connection for writing, and reads and discards data until the caller closes it too.
+async fn drain_socket(mut stream: TcpStream, input: &mut Buffer) {
+    let mut remaining = MAX_LINGER_BYTES;
     if stream.shutdown().await.is_err() {
         return;
     }
-    while left > 0 && stream.readable().await.is_ok() {
+    while remaining > 0 && stream.readable().await.is_ok() {
         input.consume(input.held().len());
         match input.fill(&stream) {
             Ok(0) => return,
-            Ok(count) => left = left.saturating_sub(count),
+            Ok(count) => remaining = remaining.saturating_sub(count),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             Err(_) => return,
         }
@@ -176,222 +193,225 @@
 }
 
 impl Connection {
-    /// What it owes its caller.
-    fn owes(&self) -> usize {
-        self.open.len()
+    /// Number of items of outstanding work: open set-ups, unsent output, a partial message and pending inputs.
+    fn outstanding_count(&self) -> usize {
+        self.open_set_ups.len()
             + usize::from(!self.output.is_empty())
             + usize::from(!self.input.held().is_empty())
-            + usize::from(!self.held.is_empty())
+            + usize::from(!self.pending.is_empty())
     }
 
-    async fn run(&mut self, stream: &TcpStream, commands: &mut mpsc::Receiver<Command>) -> End {
+    /// Runs the connection until it has to be closed.
+    async fn run(&mut self, stream: &TcpStream, commands: &mut mpsc::Receiver<Command>) -> CloseMode {
         loop {
-            if std::mem::take(&mut self.handed_part) {
-                self.let_core_answer(commands).await;
+            if std::mem::take(&mut self.sent_part) {
+                self.yield_to_core(commands).await;
             }
-            // Danger: what came whole ahead of what cannot be read was taken, and would end without a word.
-            if self.ending && !self.open.is_empty() {
-                self.fail_open().await;
+            // Set-ups received before an unparsable message are open, and would otherwise get no final response.
+            if self.is_closing && !self.open_set_ups.is_empty() {
+                self.fail_open_set_ups().await;
             }
-            let (busy, carries) = (!self.open.is_empty(), self.carried > 0);
-            let half = !self.input.held().is_empty();
-            let idle_at = self.used + if carries { IDLE_WITH_CALLS } else { IDLE };
-            let whole_by = self.half_since.map(|since| since + WHOLE);
+            let (has_open, has_calls) = (!self.open_set_ups.is_empty(), self.answered_calls > 0);
+            let has_partial = !self.input.held().is_empty();
+            let idle_at = self.last_used + if has_calls { IDLE_WITH_CALLS_TIMEOUT } else { IDLE_TIMEOUT };
+            let message_deadline = self.partial_since.map(|since| since + MESSAGE_TIMEOUT);
             match stream.try_write(&self.output) {
                 Ok(count) => {
                     self.output.drain(..count);
-                    self.written += count as u64;
-                    while self.answers.front().is_some_and(|(end, _)| *end <= self.written) {
-                        self.answers.pop_front();
+                    self.bytes_written += count as u64;
+                    while self.unwritten_answers.front().is_some_and(|(end, _)| *end <= self.bytes_written) {
+                        self.unwritten_answers.pop_front();
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(_) => return End::Gone,
+                Err(_) => return CloseMode::Immediate,
             }
-            self.releases.wrote(Instant::now(), self.written);
-            self.show(busy || half, carries);
-            self.debt.set(self.owes());
-            if self.output.len() > MAX_OUTPUT {
-                return End::Gone;
+            self.releases.on_written(Instant::now(), self.bytes_written);
+            self.publish_state(has_open || has_partial, has_calls);
+            self.outstanding.set(self.outstanding_count());
+            if self.output.len() > MAX_OUTPUT_BYTES {
+                return CloseMode::Immediate;
             }
-            if self.ending && self.output.is_empty() {
-                return End::Ours;
+            if self.is_closing && self.output.is_empty() {
+                return CloseMode::Lingering;
             }
             let check_at = self.releases.check_at();
             tokio::select! {
-                readable = stream.readable(), if !self.ending => {
-                    if readable.is_err() || matches!(self.look(stream).await, Look::Ended) {
-                        return End::Gone;
+                readable = stream.readable(), if !self.is_closing => {
+                    if readable.is_err() || matches!(self.read(stream).await, ReadOutcome::Closed) {
+                        return CloseMode::Immediate;
                     }
                 }
                 writable = stream.writable(), if !self.output.is_empty() => {
                     if writable.is_err() {
-                        return End::Gone;
+                        return CloseMode::Immediate;
                     }
                 }
                 command = commands.recv() => match command {
-                    Some(Command::Core(message)) => self.tell(message).await,
-                    Some(Command::Release(release)) => self.release(release),
-                    // Danger: what came since it was chosen is looked at first; half a request counts.
-                    Some(Command::CloseIdle) if self.owes() == 0 => {
-                        if !matches!(self.look_again(stream).await, Look::Taken) {
-                            return End::Gone;
+                    Some(Command::FromCore(message)) => self.handle_core_message(message).await,
+                    Some(Command::Release(release)) => self.send_release(release),
+                    // Reads first, since data may have come after the connection was chosen. A partial request keeps
+                    // the connection open too.
+                    Some(Command::CloseIdle) if self.outstanding_count() == 0 => {
+                        if !matches!(self.yield_and_read(stream).await, ReadOutcome::Data) {
+                            return CloseMode::Immediate;
                         }
                     }
                     Some(Command::CloseIdle) => {}
-                    None => return End::Gone,
+                    None => return CloseMode::Immediate,
                 },
-                _ = tokio::time::sleep_until(idle_at), if !busy => {
-                    if self.ending || !matches!(self.look_again(stream).await, Look::Taken) {
-                        return End::Gone;
+                _ = tokio::time::sleep_until(idle_at), if !has_open => {
+                    if self.is_closing || !matches!(self.yield_and_read(stream).await, ReadOutcome::Data) {
+                        return CloseMode::Immediate;
                     }
                 }
-                // Danger: a caller that stays silent, or half-way through a message, holds a descriptor
-                // for ever and is owed a word. What it has open is failed, so that nobody waits for it.
-                _ = tokio::time::sleep_until(whole_by.unwrap_or(idle_at)), if whole_by.is_some() && !self.ending => {
-                    match self.look_again(stream).await {
-                        Look::Nothing => self.fail_open().await,
-                        Look::Taken => {}
-                        Look::Ended => return End::Gone,
+                // A caller that sends nothing, or stops in the middle of a message, would hold a descriptor for ever.
+                // Its open set-ups are failed and withdrawn, so that the core does not go on working on them.
+                _ = tokio::time::sleep_until(message_deadline.unwrap_or(idle_at)), if message_deadline.is_some() && !self.is_closing => {
+                    match self.yield_and_read(stream).await {
+                        ReadOutcome::NoData => self.fail_open_set_ups().await,
+                        ReadOutcome::Data => {}
+                        ReadOutcome::Closed => return CloseMode::Immediate,
                     }
                 }
-                // Danger: a 200 that waits in the socket is taken in first.
+                // Reads a 200 that may already be in the socket before releases are repeated.
                 _ = tokio::time::sleep_until(check_at.unwrap_or(idle_at)), if check_at.is_some() => {
-                    if !self.ending && matches!(self.look(stream).await, Look::Ended) {
-                        return End::Gone;
+                    if !self.is_closing && matches!(self.read(stream).await, ReadOutcome::Closed) {
+                        return CloseMode::Immediate;
                     }
-                    self.repeat_overdue();
+                    self.repeat_overdue_releases();
                 }
-                // It does not read its last words either.
-                _ = tokio::time::sleep_until(self.used + WHOLE), if self.ending => return End::Gone,
+                // The caller does not read the remaining output in time.
+                _ = tokio::time::sleep_until(self.last_used + MESSAGE_TIMEOUT), if self.is_closing => return CloseMode::Immediate,
             }
         }
     }
 
-    /// Shows the server's other tasks how the connection is.
-    fn show(&self, busy: bool, carries: bool) {
+    /// Publishes the connection's state in the registry.
+    fn publish_state(&self, is_busy: bool, has_calls: bool) {
         if let Some(entry) = self.server.registry().entry(self.number) {
-            (entry.used, entry.busy, entry.carries) = (self.used, busy, carries);
-            entry.heard = self.heard.filter(|_| self.spoke);
-            entry.is_silent = self.releases.is_silent();
-            entry.is_full = !self.output.is_empty();
-            entry.asked = false;
+            (entry.last_used, entry.is_busy, entry.has_calls) = (self.last_used, is_busy, has_calls);
+            entry.last_received = self.last_received.filter(|_| self.received_request);
+            entry.is_unresponsive = self.releases.is_unresponsive();
+            entry.is_write_blocked = !self.output.is_empty();
+            entry.close_requested = false;
         }
     }
 
-    /// Sends the releases that this connection's caller seems not to hear on other connections.
-    fn repeat_overdue(&mut self) {
+    /// Sends overdue releases on other connections.
+    fn repeat_overdue_releases(&mut self) {
         let mut registry = self.server.registry();
         self.releases.check(Instant::now(), |release| registry.repeat(release));
     }
 
-    /// Looks before a time limit is enforced or a connection is evicted. Danger: timers and commands may be seen before
-    /// the sockets are polled, and a socket that was not ready before seems empty, however long ago a request came.
-    async fn look_again(&mut self, stream: &TcpStream) -> Look {
+    /// Reads the socket before a timeout is enforced or the connection is evicted. It yields first: the runtime may
+    /// deliver timers and commands before it polls the sockets, and until then a socket that was not ready seems empty,
+    /// however long ago a request came.
+    async fn yield_and_read(&mut self, stream: &TcpStream) -> ReadOutcome {
         tokio::task::yield_now().await;
-        self.look(stream).await
+        self.read(stream).await
     }
 
-    /// Takes in what the socket has. Danger: where the processor is short, a time limit and what came long
-    /// before it are seen at the same moment; a set-up that waits here is taken, and a connection closed for
-    /// its silence would lose it.
+    /// Reads the socket and sends the parsed inputs to the core. On a starved process a timeout and data that came long
+    /// before it are seen at the same moment, and closing the connection as idle would lose a set-up in the socket.
     ///
-    /// Danger: a caller may be gone before what it sent is read, and then nothing is sent on for it. Its end, or its
-    /// CANCEL, may be in the rest of the socket: what was taken in is held until that is read too, within bounds.
-    async fn look(&mut self, stream: &TcpStream) -> Look {
-        let mut inputs = self.held.take();
-        let (look, is_drained) = self.read(stream, &mut inputs);
-        if matches!(look, Look::Ended) {
-            self.drop_offers(&mut inputs);
+    /// A caller may have disconnected before its requests are read, and then no attempt may be made for them. Its FIN
+    /// or its CANCEL may be behind them in the socket, so inputs stay pending until the socket is drained, within limits.
+    async fn read(&mut self, stream: &TcpStream) -> ReadOutcome {
+        let mut inputs = self.pending.take();
+        let (outcome, is_drained) = self.read_socket(stream, &mut inputs);
+        if matches!(outcome, ReadOutcome::Closed) {
+            self.drop_unsent_offers(&mut inputs);
         }
-        let has_more = matches!(look, Look::Taken) && !is_drained && !self.ending;
-        if has_more && self.held.has_room() {
-            self.held.put(inputs);
-            self.debt.set(self.owes());
-            return look;
+        let has_more = matches!(outcome, ReadOutcome::Data) && !is_drained && !self.is_closing;
+        if has_more && self.pending.has_room() {
+            self.pending.put(inputs);
+            self.outstanding.set(self.outstanding_count());
+            return outcome;
         }
-        self.held.clear();
-        // Before anything waits: the program may be about to end, and looks at what is owed.
-        self.debt.set(self.owes());
+        self.pending.clear();
+        // Updated before the first await: the process may be about to exit and checks the outstanding work.
+        self.outstanding.set(self.outstanding_count());
         for input in inputs {
-            self.server.tell_core(input).await;
+            self.server.send_to_core(input).await;
         }
-        self.handed_part = has_more;
-        look
+        self.sent_part = has_more;
+        outcome
     }
 
-    /// Reads a bounded part of what the socket has; whether that was all.
-    fn read(&mut self, stream: &TcpStream, inputs: &mut Vec<Input>) -> (Look, bool) {
-        let mut look = Look::Nothing;
-        for _ in 0..MAX_FILLS {
+    /// Reads and parses a bounded amount of data. Returns `true` with the result if the socket is drained.
+    fn read_socket(&mut self, stream: &TcpStream, inputs: &mut Vec<Input>) -> (ReadOutcome, bool) {
+        let mut outcome = ReadOutcome::NoData;
+        for _ in 0..MAX_READS_PER_PASS {
             match self.input.fill(stream) {
                 Ok(count) if count > 0 => {
-                    look = Look::Taken;
-                    self.used = Instant::now();
-                    self.heard = Some(self.used);
-                    self.releases.read(self.used);
-                    self.held.count(count);
-                    self.take_in(self.server.clock.now(), inputs);
-                    if self.ending {
+                    outcome = ReadOutcome::Data;
+                    self.last_used = Instant::now();
+                    self.last_received = Some(self.last_used);
+                    self.releases.on_read(self.last_used);
+                    self.pending.add_bytes(count);
+                    self.handle_messages(self.server.clock.now(), inputs);
+                    if self.is_closing {
                         break;
                     }
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return (look, true),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return (outcome, true),
                 Ok(_) => {
-                    // Its end is a sign of life too.
-                    self.releases.read(Instant::now());
-                    return (Look::Ended, true);
+                    // A FIN also shows that the path to the caller works.
+                    self.releases.on_read(Instant::now());
+                    return (ReadOutcome::Closed, true);
                 }
-                Err(_) => return (Look::Ended, true),
+                Err(_) => return (ReadOutcome::Closed, true),
             }
         }
-        (look, false)
+        (outcome, false)
     }
 
-    /// Drops set-ups that were never handed on: their caller has gone.
-    fn drop_offers(&mut self, inputs: &mut Vec<Input>) {
-        inputs.retain(|input| !matches!(input, Input::Offer(o) if self.open.remove(&o.call).is_some()));
+    /// Drops set-ups that were not sent to the core, because their caller has disconnected.
+    fn drop_unsent_offers(&mut self, inputs: &mut Vec<Input>) {
+        inputs
+            .retain(|input| !matches!(input, Input::Offer(o) if self.open_set_ups.remove(&o.call).is_some()));
     }
 
-    /// Hands on what is held when the connection ends, save set-ups.
-    async fn abandon_held(&mut self) {
-        let mut inputs = self.held.take();
-        self.held.clear();
-        self.drop_offers(&mut inputs);
+    /// Sends the pending inputs to the core when the connection closes, except set-ups.
+    async fn flush_pending(&mut self) {
+        let mut inputs = self.pending.take();
+        self.pending.clear();
+        self.drop_unsent_offers(&mut inputs);
         for input in inputs {
-            self.server.tell_core(input).await;
+            self.server.send_to_core(input).await;
         }
     }
 
-    /// Lets the core take in a part of a flood, and takes the answers to it, before more is read. Danger: a flood that
-    /// is read to its end without that ends with none of it answered. It is bounded by turns, not by what is
-    /// open: the rest of the socket may hold a departure, which must be read soon.
-    async fn let_core_answer(&mut self, commands: &mut mpsc::Receiver<Command>) {
-        for _ in 0..MAX_CORE_TURNS {
+    /// Lets the core process a part of a flood, and handles its answers, before more is read; otherwise a flood that is
+    /// followed by a disconnect would be read to its end with none of it answered. The number of yields is limited,
+    /// whatever is still open, since the socket may hold a disconnect or CANCEL that must be read soon.
+    async fn yield_to_core(&mut self, commands: &mut mpsc::Receiver<Command>) {
+        for _ in 0..MAX_CORE_YIELDS {
             tokio::task::yield_now().await;
             if self.server.core.capacity() == self.server.core.max_capacity() {
                 break;
             }
         }
-        for _ in 0..ANSWER_TURNS {
+        for _ in 0..ANSWER_YIELDS {
             tokio::task::yield_now().await;
         }
-        // The rest of them once these are written.
-        while self.output.len() < MAX_OUTPUT / 2 {
+        // Further commands are handled once these responses are written.
+        while self.output.len() < MAX_OUTPUT_BYTES / 2 {
             match commands.try_recv() {
-                Ok(Command::Core(message)) => self.tell(message).await,
-                Ok(Command::Release(release)) => self.release(release),
-                // It is in use.
+                Ok(Command::FromCore(message)) => self.handle_core_message(message).await,
+                Ok(Command::Release(release)) => self.send_release(release),
+                // The connection is in use.
                 Ok(Command::CloseIdle) => {}
                 Err(_) => return,
             }
         }
     }
 
-    /// Writes the refusals that came before the connection's end was seen, as far as the socket takes them at once; a
-    /// caller that only shut its side for writing reads them. Gives back what else came. Danger: an answer that is
-    /// not written whole yet belongs to a call that is about to be released, and nothing is written then.
-    async fn write_refusals(
+    /// Writes the refusals and failures that were queued before the connection was found closed, as far as the socket
+    /// accepts them at once: a caller that only shut its side for writing still reads them. Returns the other commands.
+    /// NoData is written while an answer is not written whole, since its call is about to be released.
+    async fn write_last_refusals(
         &mut self,
         stream: &TcpStream,
         commands: &mut mpsc::Receiver<Command>,
@@ -399,62 +419,64 @@
         let mut others = Vec::new();
         while let Ok(command) = commands.try_recv() {
             match command {
-                Command::Core(message @ (ToFront::Refuse(..) | ToFront::Fail(..)))
-                    if self.output.len() < MAX_OUTPUT =>
+                Command::FromCore(message @ (ToFront::Refuse(..) | ToFront::Fail(..)))
+                    if self.output.len() < MAX_OUTPUT_BYTES =>
                 {
-                    self.tell(message).await;
+                    self.handle_core_message(message).await;
                 }
                 other => others.push(other),
             }
         }
-        if self.answers.is_empty() {
+        if self.unwritten_answers.is_empty() {
             let _ = stream.try_write(&self.output);
         }
         others
     }
 
-    /// Fails the set-ups that are open here, and ends once that is written.
-    async fn fail_open(&mut self) {
-        let mut open: Vec<(CallName, Open)> = self.open.drain().collect();
+    /// Fails and withdraws the open set-ups, and closes the connection once the responses are written.
+    async fn fail_open_set_ups(&mut self) {
+        let mut open: Vec<(CallName, OpenSetUp)> = self.open_set_ups.drain().collect();
         open.sort_by_key(|(call, _)| *call);
         for (call, open) in open {
             self.respond((500, "Server Internal Error"), &open.headers, &[], &[]);
             let withdrawn = Input::Withdrawn(self.server.id, Origin(self.number), call);
-            self.server.tell_core(withdrawn).await;
+            self.server.send_to_core(withdrawn).await;
         }
-        self.ending = true;
-        self.used = Instant::now();
+        self.is_closing = true;
+        self.last_used = Instant::now();
     }
 
-    /// Reads the messages that are there. `arrived`: when their last bytes came.
-    fn take_in(&mut self, arrived: Micros, inputs: &mut Vec<Input>) {
+    /// Parses and handles the complete messages in the input buffer, whose last bytes were read at `arrived`.
+    fn handle_messages(&mut self, arrived: Micros, inputs: &mut Vec<Input>) {
         let mut input = std::mem::take(&mut self.input);
-        let mut whole = false;
-        while !self.ending {
+        let mut has_complete = false;
+        while !self.is_closing {
             input.consume(sip::empty_lines(input.held()));
             let bytes = match sip::parse(input.held()) {
                 Ok(Some(message)) => {
-                    whole = true;
-                    self.spoke |= matches!(message.start, Start::Request(method, _) if method != "ACK");
-                    self.message(&message, arrived, inputs);
+                    has_complete = true;
+                    self.received_request |=
+                        matches!(message.start, Start::Request(method, _) if method != "ACK");
+                    self.handle_message(&message, arrived, inputs);
                     message.bytes
                 }
                 Ok(None) => break,
                 Err(Malformed::Request { headers, bytes }) => {
                     self.respond((400, "Bad Request"), &headers, &[], &[]);
-                    self.ending = bytes == 0;
+                    self.is_closing = bytes == 0;
                     bytes
                 }
                 Err(Malformed::Lost) => {
-                    self.ending = true;
+                    self.is_closing = true;
                     0
                 }
             };
             input.consume(bytes);
         }
-        debug_assert!(self.ending || input.held().len() <= MESSAGE_MOST);
-        let since = self.half_since.filter(|_| !whole || !self.spoke).unwrap_or(self.used);
-        self.half_since = (!input.held().is_empty() || !self.spoke).then_some(since);
+        debug_assert!(self.is_closing || input.held().len() <= MESSAGE_MOST);
+        let since =
+            self.partial_since.filter(|_| !has_complete || !self.received_request).unwrap_or(self.last_used);
+        self.partial_since = (!input.held().is_empty() || !self.received_request).then_some(since);
         self.input = input;
     }
 }
--- a/src/net/sip_server/connection/messages.rs
+++ b/src/net/sip_server/connection/messages.rs
@@ -1,25 +1,25 @@
-//! What a caller's messages mean, and what it is told.
+//! Handling of a caller's SIP messages, and of the core's messages to the caller.
 
-use super::{Connection, Open};
+use super::{Connection, OpenSetUp};
 use crate::core::{CallName, Cause, Description, Input, Offer, Origin, ToFront};
 use crate::interface::Micros;
 use crate::metrics;
 use crate::net::sip::{self, Message, Start};
 use crate::net::sip_server::release_tracker::Release;
-use crate::net::sip_server::MAX_OPEN;
+use crate::net::sip_server::MAX_OPEN_SET_UPS;
 use crate::net::SDP;
 use bytes::Bytes;
 use tokio::time::Instant;
 
-/// Headers that an answer repeats, kept while a set-up is open: no longer than this together.
-const MAX_REPEATED: usize = 2048;
+/// Maximum total length of the headers that are kept while a set-up is open, for its responses to repeat.
+const MAX_RETAINED_HEADER_BYTES: usize = 2048;
 
 impl Connection {
-    /// Acts on one message. `arrived`: when its last byte came.
-    pub(super) fn message(&mut self, message: &Message, arrived: Micros, inputs: &mut Vec<Input>) {
+    /// Handles one message, whose last byte was read at `arrived`, and adds the resulting inputs for the core.
+    pub(super) fn handle_message(&mut self, message: &Message, arrived: Micros, inputs: &mut Vec<Input>) {
         let Start::Request(method, uri) = message.start else {
             if let (Some((_, "BYE")), Some(call)) = (message.cseq(), call_name(message)) {
-                self.releases.confirmed(call);
+                self.releases.on_confirmed(call);
             }
             return;
         };
@@ -36,21 +36,25 @@
                 }
             }
             ("INVITE", Some(_))
-                if headers.iter().map(|(n, v)| n.len() + v.len()).sum::<usize>() > MAX_REPEATED =>
+                if headers.iter().map(|(n, v)| n.len() + v.len()).sum::<usize>()
+                    > MAX_RETAINED_HEADER_BYTES =>
             {
                 self.respond((513, "Message Too Large"), &headers, &[], &[]);
             }
-            ("INVITE", Some(call)) => match self.offer(message, uri, call, arrived) {
-                // Danger: a second set-up under the id of an open one is refused; the open one's headers,
-                // which its answer repeats, stay.
-                Ok(offer) if self.open.len() < MAX_OPEN && !self.open.contains_key(&call) => {
-                    self.open.insert(call, Open { headers });
+            ("INVITE", Some(call)) => match self.parse_offer(message, uri, call, arrived) {
+                // A second set-up with the Call-ID of an open one is refused and must not replace it: the response
+                // to the open one repeats the headers of its own request.
+                Ok(offer)
+                    if self.open_set_ups.len() < MAX_OPEN_SET_UPS
+                        && !self.open_set_ups.contains_key(&call) =>
+                {
+                    self.open_set_ups.insert(call, OpenSetUp { headers });
                     inputs.push(Input::Offer(offer));
                 }
                 Ok(_) => self.respond((503, "Service Unavailable"), &headers, &[], &[]),
                 Err(()) => self.respond((400, "Bad Request"), &headers, &[], &[]),
             },
-            ("CANCEL", Some(call)) => match self.open.remove(&call) {
+            ("CANCEL", Some(call)) => match self.open_set_ups.remove(&call) {
                 Some(open) => {
                     self.respond((200, "OK"), &headers, &[], &[]);
                     self.respond((487, "Request Terminated"), &open.headers, &[], &[]);
@@ -61,14 +65,14 @@
             ("BYE", Some(call)) => {
                 let cause = message.header("Reason").and_then(sip::cause).map_or(Cause::NORMAL, Cause);
                 self.respond((200, "OK"), &headers, &[], &[]);
-                // A BYE before the answer ends the set-up, whose INVITE is still owed an answer.
-                match self.open.remove(&call) {
+                // A BYE before the answer cancels the set-up, whose INVITE still needs a final response.
+                match self.open_set_ups.remove(&call) {
                     Some(open) => {
                         self.respond((487, "Request Terminated"), &open.headers, &[], &[]);
                         inputs.push(Input::Withdrawn(id, origin, call));
                     }
                     None => {
-                        self.carried = self.carried.saturating_sub(1);
+                        self.answered_calls = self.answered_calls.saturating_sub(1);
                         inputs.push(Input::Hangup(id, call, cause));
                     }
                 }
@@ -81,11 +85,17 @@
         }
     }
 
-    /// The set-up that an INVITE holds.
-    fn offer(&self, message: &Message, uri: &str, call: CallName, arrived: Micros) -> Result<Offer, ()> {
-        let within = message.number("Answer-Within").map_err(drop)?;
+    /// Parses the set-up of an INVITE; the error means that a header or the request URI is invalid.
+    fn parse_offer(
+        &self,
+        message: &Message,
+        uri: &str,
+        call: CallName,
+        arrived: Micros,
+    ) -> Result<Offer, ()> {
+        let answer_within = message.number("Answer-Within").map_err(drop)?;
         let data = message.header("Routing-Data").unwrap_or("");
-        let figure = |name: &str| {
+        let routing_parameter = |name: &str| {
             let mut parts = data.split(';').filter_map(|p| p.split_once(':'));
             parts.find(|(k, _)| k.trim() == name).map(|(_, v)| v.trim())
         };
@@ -95,63 +105,63 @@
             call,
             class: message.header("Call-Kind").unwrap_or("").into(),
             number: sip::user(uri).ok_or(())?.into(),
-            place: figure("dest").map_or(Ok(-1), |v| v.parse().map_err(|_| ()))?,
-            deadline: within.map(|ms| arrived + Micros(ms.saturating_mul(1000))),
+            place: routing_parameter("dest").map_or(Ok(-1), |v| v.parse().map_err(|_| ()))?,
+            deadline: answer_within.map(|ms| arrived + Micros(ms.saturating_mul(1000))),
             repeat: message.header("Repeat-Mark").is_some_and(|v| v == "1"),
-            returned: figure("again") == Some("1"),
+            returned: routing_parameter("again") == Some("1"),
             description: Description { form: SDP, bytes: Bytes::copy_from_slice(message.body) },
         })
     }
 
-    /// Passes on what the core has for the caller.
-    pub(super) async fn tell(&mut self, message: ToFront) {
-        self.used = Instant::now();
+    /// Handles a message from the core for the caller.
+    pub(super) async fn handle_core_message(&mut self, message: ToFront) {
+        self.last_used = Instant::now();
         match message {
-            ToFront::Answer(_, call, description) => match self.open.remove(&call) {
+            ToFront::Answer(_, call, description) => match self.open_set_ups.remove(&call) {
                 Some(open) => {
-                    self.carried += 1;
+                    self.answered_calls += 1;
                     let contact = format!("<sip:petreldock@{}>", self.server.listen);
                     let more = [("Contact", &*contact), ("Content-Type", SDP)];
-                    // A hub of another protocol describes nothing that a SIP caller could use.
+                    // The description of a hub that uses another protocol is of no use to a SIP caller.
                     match description.form == SDP {
                         true => self.respond((200, "OK"), &open.headers, &more, &description.bytes),
                         false => self.respond((200, "OK"), &open.headers, &more[..1], &[]),
                     }
-                    self.answers.push_back((self.written + self.output.len() as u64, call));
+                    self.unwritten_answers.push_back((self.bytes_written + self.output.len() as u64, call));
                 }
-                // Danger: the caller gave its set-up up while the answer was under way to it. Nobody
-                // has the call: it is released at the hub, and no second answer goes out.
+                // The caller cancelled its set-up while the answer was on its way here. It has received its final
+                // response, so the call is only hung up at the hub.
                 None => {
-                    self.server.tell_core(Input::Hangup(self.server.id, call, Cause::NORMAL)).await;
+                    self.server.send_to_core(Input::Hangup(self.server.id, call, Cause::NORMAL)).await;
                 }
             },
-            ToFront::Refuse(_, call, away) => {
-                if let Some(open) = self.open.remove(&call) {
-                    let away = (away.0 / 1000).to_string();
-                    let more = [("Come-Back-Ms", &*away)];
-                    let more = if away == "0" { &[][..] } else { &more[..] };
+            ToFront::Refuse(_, call, retry_after) => {
+                if let Some(open) = self.open_set_ups.remove(&call) {
+                    let retry_after_ms = (retry_after.0 / 1000).to_string();
+                    let more = [("Come-Back-Ms", &*retry_after_ms)];
+                    let more = if retry_after_ms == "0" { &[][..] } else { &more[..] };
                     self.respond((503, "Service Unavailable"), &open.headers, more, &[]);
                 }
             }
             ToFront::Fail(_, call) => {
-                if let Some(open) = self.open.remove(&call) {
+                if let Some(open) = self.open_set_ups.remove(&call) {
                     self.respond((500, "Server Internal Error"), &open.headers, &[], &[]);
                 }
             }
             ToFront::Release(origin, call, cause) => {
-                self.carried -= usize::from(origin.is_some() && self.carried > 0);
-                self.release(Release::new(call, cause));
+                self.answered_calls -= usize::from(origin.is_some() && self.answered_calls > 0);
+                self.send_release(Release::new(call, cause));
             }
-            // SIP callers' media goes past the session controller.
+            // The media of SIP callers does not pass through the session controller.
             ToFront::Media(..) => {}
         }
     }
 
-    /// Ends a call that stands towards the caller, and tracks that until it is confirmed.
-    pub(super) fn release(&mut self, release: Release) {
-        self.used = Instant::now();
+    /// Sends a BYE for an answered call to the caller, and tracks it until it is confirmed.
+    pub(super) fn send_release(&mut self, release: Release) {
+        self.last_used = Instant::now();
         metrics::RELEASES_SENT.increment();
-        tracing::debug!(call = %release.call, connection = self.number, cause = release.cause.0, "release to the caller");
+        tracing::debug!(call = %release.call, connection = self.number, cause = release.cause.0, "sending BYE to the caller");
         let listen = self.server.listen;
         let (id, reason) = (format!("{:016x}", release.call.0), format!("Q.850;cause={}", release.cause.0));
         let via = format!("SIP/2.0/TCP {listen};branch=z9hG4bK{id}bye");
@@ -170,11 +180,11 @@
                 ("Reason", &reason),
             ],
         );
-        let end = self.written + self.output.len() as u64;
-        self.releases.queued(self.used, release, end);
+        let end = self.bytes_written + self.output.len() as u64;
+        self.releases.on_queued(self.last_used, release, end);
     }
 
-    /// Responds to a request with these headers.
+    /// Queues a response to the request with these headers; `more` are further headers of the response.
     pub(super) fn respond(
         &mut self,
         status: (u16, &str),
@@ -187,7 +197,7 @@
     }
 }
 
-/// The call that a message names: 16 hex digits, as on the hubs' wire.
+/// The call that a message's `Call-ID` names in 16 hex digits. It has the same name in the protocol of the table hubs.
 fn call_name(message: &Message) -> Option<CallName> {
     let text = message.header("Call-ID")?;
     let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
--- a/src/net/sip_server/mod.rs
+++ b/src/net/sip_server/mod.rs
@@ -1,4 +1,4 @@
-//! The SIP server side: callers' connections, and what goes back to them.
+//! SIP server: accepts callers' TCP connections and delivers the core's messages to them.
 
 mod connection;
 mod registry;
@@ -15,14 +15,14 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Duration;
 
-/// Set-ups that may be open on one connection.
-const MAX_OPEN: usize = 4096;
-/// So many idle connections make room at a time.
-const SHED_BATCH: usize = 8;
-/// How long to wait before accepting again when descriptors have run out.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// Maximum number of open set-ups per connection.
+const MAX_OPEN_SET_UPS: usize = 4096;
+/// Number of idle connections asked to close at a time when descriptors are short.
+const EVICTION_BATCH_SIZE: usize = 8;
+/// Delay before the next accept when descriptors have run out.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the server's tasks share.
+/// State shared by the server's tasks.
 struct Server {
     id: FrontId,
     listen: SocketAddr,
@@ -31,8 +31,8 @@
     status: watch::Receiver<Status>,
     registry: Mutex<ConnectionRegistry>,
     owed: Owed,
-    /// Bytes that connections have taken in and not handed on to the core yet.
-    held: Owed,
+    /// Bytes that connections have read and not yet sent to the core.
+    pending_bytes: Owed,
     max_connections: usize,
 }
 
@@ -41,34 +41,34 @@
         self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the core something. Danger: sending that may wait lets other tasks run every so often, and between two
-    /// withdrawals of one connection the core would send on what the second one withdraws. So this waits only where
-    /// the core's queue is full.
-    async fn tell_core(&self, input: Input) {
+    /// Sends an input to the core. An awaited send yields to other tasks from time to time. If it yielded between two
+    /// withdrawals of one connection, the core could start a further attempt for the call that the second one
+    /// withdraws, so this awaits only when the core's queue is full.
+    async fn send_to_core(&self, input: Input) {
         if let Err(TrySendError::Full(input)) = self.core.try_send(input) {
-            // It fails only once the core has ended.
+            // The send fails only after the core has terminated.
             let _ = self.core.send(input).await;
         }
     }
 }
 
-/// What a SIP server is given to work with.
+/// Configuration and dependencies of a SIP server.
 pub struct Config {
-    /// Which of the core's fronts it is.
+    /// The server's id among the core's fronts.
     pub id: FrontId,
-    /// Descriptors that the process may hold.
+    /// Maximum number of descriptors that the process may use.
     pub sockets: usize,
     /// The clock.
     pub clock: Clock,
-    /// The core's queue.
+    /// The core's input queue.
     pub core: mpsc::Sender<Input>,
-    /// How the core is.
+    /// The core's current status.
     pub status: watch::Receiver<Status>,
-    /// Where it says what it owes its callers.
+    /// Counter of outstanding work, to which the server adds its own.
     pub owed: Owed,
 }
 
-/// Serves callers for ever.
+/// Serves callers until the task is cancelled; returns early only if the listener has no local address.
 pub async fn run(
     config: Config,
     listener: TcpListener,
@@ -76,45 +76,46 @@
 ) -> io::Result<()> {
     let listen = listener.local_addr()?;
     let Config { id, sockets, clock, core, status, owed } = config;
-    // Callers hold a third of the descriptors; more are let in as long as the rest is not needed.
+    // Callers are expected to use a third of the descriptors. Up to half are allowed as long as the rest is unused.
     let max_connections = sockets / 2;
     let registry = Mutex::default();
-    let held = Owed::default();
-    let server = Arc::new(Server { id, listen, clock, core, status, registry, owed, held, max_connections });
-    let deliverer = server.clone();
+    let pending_bytes = Owed::default();
+    let server =
+        Arc::new(Server { id, listen, clock, core, status, registry, owed, pending_bytes, max_connections });
+    let router = server.clone();
     tokio::spawn(async move {
         while let Some(message) = answers.recv().await {
-            let back = deliverer.registry().route(message);
-            // The caller's connection ended as its answer came: nobody has the call.
-            if let Some(ToFront::Answer(_, call, _)) = back {
-                deliverer.tell_core(Input::Hangup(deliverer.id, call, Cause::NORMAL)).await;
+            let undelivered = router.registry().route(message);
+            // The caller's connection closed before its answer arrived, so the call is hung up at the hub.
+            if let Some(ToFront::Answer(_, call, _)) = undelivered {
+                router.send_to_core(Input::Hangup(router.id, call, Cause::NORMAL)).await;
             }
         }
     });
     loop {
-        // Danger: a connection that is accepted and dropped loses the request that is on it. Over the
-        // bound, new ones wait in the listener's queue until idle ones have made room.
-        let count = server.registry().count();
+        // A connection that is accepted and dropped loses any request already sent on it. At the limit, new connections
+        // wait in the listener's backlog until idle ones have been closed.
+        let count = server.registry().descriptor_count();
         if count >= server.max_connections {
-            server.registry().shed(SHED_BATCH);
-            tokio::time::sleep(ACCEPT_RETRY).await;
+            server.registry().close_idle(EVICTION_BATCH_SIZE);
+            tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             continue;
         }
-        // Before it comes to that, room is made one for one: nobody has to wait.
+        // Above three quarters of the limit, one idle connection is closed for each new one, so that none has to wait.
         if count >= server.max_connections / 4 * 3 {
-            server.registry().shed(1);
+            server.registry().close_idle(1);
         }
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                let (number, commands) = server.registry().enter();
+                let (number, commands) = server.registry().register();
                 tokio::spawn(connection::serve(server.clone(), number, stream, commands));
             }
-            // Danger: with no descriptor left, accept fails at once and would take the whole core.
+            // With no descriptor left, accept fails at once: without a delay this loop would use a whole processor.
             Err(error) => {
                 tracing::warn!("front: cannot accept: {error}");
-                server.registry().shed(SHED_BATCH);
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                server.registry().close_idle(EVICTION_BATCH_SIZE);
+                tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
--- a/src/net/sip_server/registry.rs
+++ b/src/net/sip_server/registry.rs
@@ -1,7 +1,7 @@
-//! Who is connected, and which connection gets what the core or another connection has for a caller.
+//! Registry of open connections, which chooses the connection for each message to a caller.
 
 use super::release_tracker::Release;
-use super::MAX_OPEN;
+use super::MAX_OPEN_SET_UPS;
 use crate::core::ToFront;
 use crate::metrics;
 use std::cmp::Reverse;
@@ -9,97 +9,99 @@
 use tokio::sync::mpsc;
 use tokio::time::{Duration, Instant};
 
-/// Messages that may wait for one connection: an answer to each of its set-ups, and as many releases.
-const MAX_COMMANDS: usize = 2 * MAX_OPEN;
-/// Releases that may wait for a connection, and how long they do.
-const MAX_PARKED: usize = 8192;
-const PARKED_FOR: Duration = Duration::from_secs(10);
+/// Maximum number of commands queued for one connection: an answer to each of its set-ups and as many releases.
+const MAX_QUEUED_COMMANDS: usize = 2 * MAX_OPEN_SET_UPS;
+/// Maximum number of releases queued while no connection can take them.
+const MAX_QUEUED_RELEASES: usize = 8192;
+/// How long a release stays queued for the next connection.
+const QUEUED_RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a connection is told.
+/// A command to a connection's task.
 pub enum Command {
-    /// What the core has for a caller whose set-up came on this connection.
-    Core(ToFront),
-    /// A call that was not set up on this connection, or whose own connection could not take its release.
+    /// A message from the core for a caller whose set-up came on this connection.
+    FromCore(ToFront),
+    /// The release of a call that was set up on another connection, or that the call's own connection could not take.
     Release(Release),
-    /// Descriptors are short: end if no set-up is open.
+    /// Close if no set-up is open, because descriptors are short.
     CloseIdle,
 }
 
-/// What is known of one connection outside its task.
+/// State of one connection that is shared with the other tasks.
 pub struct Entry {
     sender: mpsc::Sender<Command>,
-    /// When it was last read from, or told something.
-    pub used: Instant,
-    /// When something was last read from it, once a whole request came.
-    pub heard: Option<Instant>,
-    /// A release on it is overdue, and nothing has been read since.
-    pub is_silent: bool,
-    /// It takes no more bytes for now.
-    pub is_full: bool,
-    /// Set-ups are open on it, or a message is half there: it may not be closed to make room.
-    pub busy: bool,
-    /// Calls that were answered on it stand.
-    pub carries: bool,
-    /// It was asked to make room, and has not looked yet.
-    pub asked: bool,
+    /// When the connection last read something or was sent a message.
+    pub last_used: Instant,
+    /// When something was last read; `None` until a whole request has been received.
+    pub last_received: Option<Instant>,
+    /// A release on it is overdue and nothing has been read since.
+    pub is_unresponsive: bool,
+    /// The socket accepts no more bytes for now.
+    pub is_write_blocked: bool,
+    /// It has open set-ups or a partial message, so that it may not be closed to free a descriptor.
+    pub is_busy: bool,
+    /// Calls answered on it are still up.
+    pub has_calls: bool,
+    /// It was asked to close and has not handled that yet.
+    pub close_requested: bool,
 }
 
 impl Entry {
-    /// A connection that was just accepted.
+    /// Creates the entry of a connection that was just accepted.
     fn new(sender: mpsc::Sender<Command>) -> Entry {
         Entry {
             sender,
-            used: Instant::now(),
-            heard: None,
-            is_silent: false,
-            is_full: false,
-            busy: false,
-            carries: false,
-            asked: false,
+            last_used: Instant::now(),
+            last_received: None,
+            is_unresponsive: false,
+            is_write_blocked: false,
+            is_busy: false,
+            has_calls: false,
+            close_requested: false,
         }
     }
 }
 
-/// Who is connected, and what waits for a connection.
+/// The open connections, and the releases queued for the next one.
 #[derive(Default)]
 pub struct ConnectionRegistry {
-    last: u64,
+    last_number: u64,
     connections: BTreeMap<u64, Entry>,
-    /// Connections that are shut for writing, and read on for a little while.
+    /// Number of connections that are shut for writing and still read for a short time.
     pub lingering: usize,
-    parked: VecDeque<(Instant, Release)>,
+    queued_releases: VecDeque<(Instant, Release)>,
 }
 
 impl ConnectionRegistry {
-    /// Enters a connection that was just accepted, and gives it what waited for one. Its number, and where its
-    /// commands come.
-    pub fn enter(&mut self) -> (u64, mpsc::Receiver<Command>) {
-        let (sender, commands) = mpsc::channel(MAX_COMMANDS);
-        self.last += 1;
-        self.connections.insert(self.last, Entry::new(sender));
-        for (_, release) in std::mem::take(&mut self.parked) {
+    /// Registers a connection that was just accepted and sends it the queued releases. Returns its number and its
+    /// command queue.
+    pub fn register(&mut self) -> (u64, mpsc::Receiver<Command>) {
+        let (sender, commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
+        self.last_number += 1;
+        self.connections.insert(self.last_number, Entry::new(sender));
+        for (_, release) in std::mem::take(&mut self.queued_releases) {
             self.release(release);
         }
-        (self.last, commands)
+        (self.last_number, commands)
     }
 
-    /// What is known of a connection that has not ended.
+    /// Returns the entry of a connection that has not been removed.
     pub fn entry(&mut self, number: u64) -> Option<&mut Entry> {
         self.connections.get_mut(&number)
     }
 
-    /// Forgets a connection that has ended; `lingers` if it is read on for a little while.
+    /// Removes a closed connection; `lingers` if its socket is still read for a short time.
     pub fn remove(&mut self, number: u64, lingers: bool) {
         self.connections.remove(&number);
         self.lingering += usize::from(lingers);
     }
 
-    /// How many descriptors the connections hold.
-    pub fn count(&self) -> usize {
+    /// Number of descriptors used by connections.
+    pub fn descriptor_count(&self) -> usize {
         self.connections.len() + self.lingering
     }
 
-    /// Hands a message on; gives back an answer whose connection is gone.
+    /// Sends a message from the core to its connection; a release goes to any connection if need be. Returns any other
+    /// message whose connection is gone.
     pub fn route(&mut self, message: ToFront) -> Option<ToFront> {
         let origin = match &message {
             ToFront::Answer(origin, ..)
@@ -109,10 +111,10 @@
             ToFront::Release(origin, ..) => *origin,
         };
         let own = origin.and_then(|o| self.connections.get(&o.0));
-        // What a silent connection would swallow need not wait there first.
+        // A release is not sent first on an unresponsive connection, where it would only wait to be repeated.
         let is_release = matches!(message, ToFront::Release(..));
-        let own = own.filter(|entry| !is_release || !entry.is_silent);
-        let message = match own.map(|k| k.sender.try_send(Command::Core(message.clone()))) {
+        let own = own.filter(|entry| !is_release || !entry.is_unresponsive);
+        let message = match own.map(|e| e.sender.try_send(Command::FromCore(message.clone()))) {
             Some(Ok(())) => return None,
             _ => message,
         };
@@ -121,42 +123,46 @@
         None
     }
 
-    /// Sends a release on any connection, or else on the next one: no connection owns a call that stands.
+    /// Sends a release on any connection, since an answered call is tied to none, or queues it for the next one.
     pub fn release(&mut self, release: Release) {
         if self.release_on(&release, |_| true) {
             return;
         }
-        // The oldest come first.
-        while self.parked.front().is_some_and(|(since, _)| since.elapsed() >= PARKED_FOR) {
-            let lost = self.parked.pop_front();
+        // The queue is ordered by age, the oldest first.
+        while self.queued_releases.front().is_some_and(|(since, _)| since.elapsed() >= QUEUED_RELEASE_TIMEOUT)
+        {
+            let lost = self.queued_releases.pop_front();
             metrics::RELEASES_LOST.increment();
             if let Some((_, release)) = lost {
                 tracing::warn!(call = %release.call, "release lost: no caller connected");
             }
         }
-        tracing::debug!(call = %release.call, parked = self.parked.len(), "release parked: no caller connected");
-        if self.parked.len() < MAX_PARKED {
-            self.parked.push_back((Instant::now(), release));
+        tracing::debug!(call = %release.call, parked = self.queued_releases.len(), "release queued: no caller connected");
+        if self.queued_releases.len() < MAX_QUEUED_RELEASES {
+            self.queued_releases.push_back((Instant::now(), release));
         } else {
             metrics::RELEASES_LOST.increment();
         }
     }
 
-    /// Sends a release that was swallowed on another connection, if there is one that seems to live.
+    /// Sends a release that another connection did not confirm on a responsive connection. Returns `false` if there
+    /// is none.
     pub fn repeat(&mut self, release: Release) -> bool {
-        let sent = self.release_on(&release, |entry| !entry.is_silent && !entry.is_full);
+        let sent = self.release_on(&release, |entry| !entry.is_unresponsive && !entry.is_write_blocked);
         metrics::RELEASES_REPEATED.add(u64::from(sent));
-        tracing::debug!(call = %release.call, tried = ?release.tried, sent, "release repeated");
+        tracing::debug!(call = %release.call, tried = ?release.tried_connections, sent, "release repeated");
         sent
     }
 
-    /// Sends a release on one of these connections that did not swallow it before: best on one that is not
-    /// silent, and of these on the one heard from last.
-    fn release_on(&self, release: &Release, suits: impl Fn(&Entry) -> bool) -> bool {
-        let others = self.connections.iter().filter(|(number, _)| !release.tried.contains(number));
-        let suitable = others.filter(|(_, entry)| suits(entry));
-        let mut ranked: BinaryHeap<_> =
-            suitable.map(|(number, entry)| (Reverse(entry.is_silent), entry.heard, *number)).collect();
+    /// Sends a release on an eligible connection that has not been tried before. Responsive connections are
+    /// preferred, and of these the one that was last read from most recently.
+    fn release_on(&self, release: &Release, is_eligible: impl Fn(&Entry) -> bool) -> bool {
+        let untried =
+            self.connections.iter().filter(|(number, _)| !release.tried_connections.contains(number));
+        let eligible = untried.filter(|(_, entry)| is_eligible(entry));
+        let mut ranked: BinaryHeap<_> = eligible
+            .map(|(number, entry)| (Reverse(entry.is_unresponsive), entry.last_received, *number))
+            .collect();
         while let Some((.., number)) = ranked.pop() {
             let sent = self.connections[&number].sender.try_send(Command::Release(release.clone()));
             if sent.is_ok() {
@@ -166,14 +172,14 @@
         false
     }
 
-    /// Asks `count` connections to end on which nothing is open: first those without a call that stands,
-    /// and of these the ones used longest ago.
-    pub fn shed(&mut self, count: usize) {
+    /// Asks `count` connections that are not busy to close: first those without answered calls, and of these the
+    /// least recently used.
+    pub fn close_idle(&mut self, count: usize) {
         let mut idle: Vec<&mut Entry> =
-            self.connections.values_mut().filter(|k| !k.busy && !k.asked).collect();
-        idle.sort_by_key(|k| (k.carries, k.used));
+            self.connections.values_mut().filter(|e| !e.is_busy && !e.close_requested).collect();
+        idle.sort_by_key(|e| (e.has_calls, e.last_used));
         for entry in idle.into_iter().take(count) {
-            entry.asked = entry.sender.try_send(Command::CloseIdle).is_ok();
+            entry.close_requested = entry.sender.try_send(Command::CloseIdle).is_ok();
         }
     }
 }
--- a/src/net/sip_server/release_tracker/tests.rs
+++ b/src/net/sip_server/release_tracker/tests.rs
@@ -1,51 +1,59 @@
 use super::*;
 
-const MILLI: Duration = Duration::from_millis(1);
-/// How long one BYE is.
-const LENGTH: u64 = 250;
+const MILLISECOND: Duration = Duration::from_millis(1);
+/// Length of a BYE in bytes.
+const BYE_LENGTH: u64 = 250;
 
-/// A tracker, its connection's clock, and what it had sent elsewhere.
-struct Bench {
+/// A tracker with a simulated connection and clock.
+struct TestConnection {
     tracker: ReleaseTracker,
     start: Instant,
     now: Instant,
+    /// Total number of bytes queued for writing.
     queued: u64,
+    /// The calls whose BYE another connection took, and after how many milliseconds.
     repeated: Vec<(u64, u128)>,
 }
 
-impl Bench {
-    fn new() -> Bench {
+impl TestConnection {
+    fn new() -> TestConnection {
         let now = Instant::now();
-        Bench { tracker: ReleaseTracker::new(7), start: now, now, queued: 0, repeated: Vec::new() }
+        TestConnection { tracker: ReleaseTracker::new(7), start: now, now, queued: 0, repeated: Vec::new() }
     }
 
-    /// Queues the BYE of a call; it is not written yet.
-    fn queue(&mut self, call: u64, tried: &[u64]) {
-        self.queued += LENGTH;
-        let release = Release { call: CallName(call), cause: Cause(16), tried: tried.into() };
-        self.tracker.queued(self.now, release, self.queued);
+    /// Queues the BYE of a call without writing it.
+    fn queue(&mut self, call: u64, tried_connections: &[u64]) {
+        self.queued += BYE_LENGTH;
+        let release =
+            Release { call: CallName(call), cause: Cause(16), tried_connections: tried_connections.into() };
+        self.tracker.on_queued(self.now, release, self.queued);
     }
 
     fn write_all(&mut self) {
-        self.tracker.wrote(self.now, self.queued);
+        self.tracker.on_written(self.now, self.queued);
     }
 
-    fn put_out(&mut self, calls: impl IntoIterator<Item = u64>) {
+    fn send(&mut self, calls: impl IntoIterator<Item = u64>) {
         for call in calls {
             self.queue(call, &[]);
             self.write_all();
         }
     }
 
-    /// Lets time pass; each check comes when it is due, and other connections take what they may.
-    fn pass(&mut self, millis: u64, is_taken: impl Fn(Duration) -> bool) {
-        let end = self.now + MILLI * millis as u32;
+    /// Advances the clock and makes each check when it is due. `is_taken` tells, by the time since the start, whether
+    /// another connection takes a BYE.
+    fn advance(&mut self, millis: u64, is_taken: impl Fn(Duration) -> bool) {
+        let end = self.now + MILLISECOND * millis as u32;
         while let Some(at) = self.tracker.check_at().filter(|at| *at <= end) {
             self.now = self.now.max(at);
             let since = self.now - self.start;
             let repeated = &mut self.repeated;
             self.tracker.check(self.now, |release| {
-                assert_eq!(release.tried.last(), Some(&7), "it says which connection swallowed it");
+                assert_eq!(
+                    release.tried_connections.last(),
+                    Some(&7),
+                    "it names the connection that was tried"
+                );
                 if is_taken(since) {
                     repeated.push((release.call.0, since.as_millis()));
                 }
@@ -56,236 +64,244 @@
     }
 
     fn read(&mut self) {
-        self.tracker.read(self.now);
+        self.tracker.on_read(self.now);
     }
 
-    fn ended(self) -> Vec<u64> {
-        self.tracker.end(self.now).map(|release| release.call.0).collect()
+    fn close(self) -> Vec<u64> {
+        self.tracker.on_close(self.now).map(|release| release.call.0).collect()
     }
 }
 
-const REPEATED_AT: u128 = 350;
+/// When an overdue BYE is repeated, in milliseconds after it was written.
+const REPEATED_AT_MS: u128 = 350;
 
 #[test]
-fn a_release_without_a_sign_of_life_is_repeated_once_well_within_a_second() {
-    let mut bench = Bench::new();
-    bench.put_out([1]);
-    bench.pass(REPEATED_AT as u64 - 1, |_| true);
-    assert!(bench.repeated.is_empty());
-    assert!(!bench.tracker.is_silent());
-    bench.pass(20_000, |_| true);
-    assert_eq!(bench.repeated, [(1, REPEATED_AT)]);
-    assert!(bench.tracker.is_silent());
-    assert_eq!(bench.tracker.check_at(), None, "it is the other connection's now");
-    assert!(bench.ended().is_empty(), "... also when this one ends");
+fn a_release_on_an_unresponsive_connection_is_repeated_once_within_a_second() {
+    let mut connection = TestConnection::new();
+    connection.send([1]);
+    connection.advance(REPEATED_AT_MS as u64 - 1, |_| true);
+    assert!(connection.repeated.is_empty());
+    assert!(!connection.tracker.is_unresponsive());
+    connection.advance(20_000, |_| true);
+    assert_eq!(connection.repeated, [(1, REPEATED_AT_MS)]);
+    assert!(connection.tracker.is_unresponsive());
+    assert_eq!(connection.tracker.check_at(), None, "the other connection tracks it now");
+    assert!(connection.close().is_empty(), "nor is it sent again when this connection closes");
 }
 
 #[test]
-fn what_is_confirmed_is_not_repeated() {
+fn a_confirmed_release_is_not_repeated() {
     for after in [0, 100, 299, 349] {
-        let mut bench = Bench::new();
-        bench.put_out([1, 2]);
-        bench.pass(after, |_| true);
-        bench.read();
-        bench.tracker.confirmed(CallName(1));
-        bench.tracker.confirmed(CallName(2));
-        bench.pass(20_000, |_| true);
-        assert!(bench.repeated.is_empty(), "confirmed after {after} ms");
-        assert!(bench.ended().is_empty());
+        let mut connection = TestConnection::new();
+        connection.send([1, 2]);
+        connection.advance(after, |_| true);
+        connection.read();
+        connection.tracker.on_confirmed(CallName(1));
+        connection.tracker.on_confirmed(CallName(2));
+        connection.advance(20_000, |_| true);
+        assert!(connection.repeated.is_empty(), "confirmed after {after} ms");
+        assert!(connection.close().is_empty());
     }
 }
 
 #[test]
-fn a_confirmation_after_the_repeat_or_of_an_unknown_call_changes_nothing() {
-    let mut bench = Bench::new();
-    bench.tracker.confirmed(CallName(9));
-    bench.put_out([1]);
-    bench.pass(1_000, |_| true);
-    bench.read();
-    bench.tracker.confirmed(CallName(1));
-    assert!(!bench.tracker.is_silent(), "it was heard from");
-    bench.pass(1_000, |_| true);
-    assert_eq!(bench.repeated.len(), 1);
+fn a_late_or_unknown_confirmation_causes_no_further_repeat() {
+    let mut connection = TestConnection::new();
+    connection.tracker.on_confirmed(CallName(9));
+    connection.send([1]);
+    connection.advance(1_000, |_| true);
+    connection.read();
+    connection.tracker.on_confirmed(CallName(1));
+    assert!(!connection.tracker.is_unresponsive(), "bytes were read");
+    connection.advance(1_000, |_| true);
+    assert_eq!(connection.repeated.len(), 1);
 }
 
 #[test]
-fn only_bytes_read_later_than_a_round_trip_show_that_the_connection_lives() {
+fn bytes_read_within_a_round_trip_do_not_prevent_the_repeat() {
     for (read_after, repeats) in [(0, 1), (99, 1), (100, 0), (349, 0)] {
-        let mut bench = Bench::new();
-        bench.put_out([1]);
-        bench.pass(read_after, |_| true);
-        bench.read();
-        bench.pass(20_000, |_| true);
-        assert_eq!(bench.repeated.len(), repeats, "read {read_after} ms after it was written");
+        let mut connection = TestConnection::new();
+        connection.send([1]);
+        connection.advance(read_after, |_| true);
+        connection.read();
+        connection.advance(20_000, |_| true);
+        assert_eq!(connection.repeated.len(), repeats, "read {read_after} ms after it was written");
     }
 }
 
 #[test]
-fn what_was_read_before_the_write_does_not_excuse_it() {
-    let mut bench = Bench::new();
-    bench.pass(500, |_| true);
-    bench.read();
-    bench.put_out([1]);
-    bench.pass(500, |_| true);
-    assert_eq!(bench.repeated.len(), 1);
+fn bytes_read_before_the_write_do_not_prevent_the_repeat() {
+    let mut connection = TestConnection::new();
+    connection.advance(500, |_| true);
+    connection.read();
+    connection.send([1]);
+    connection.advance(500, |_| true);
+    assert_eq!(connection.repeated.len(), 1);
 }
 
 #[test]
-fn a_connection_that_lives_and_ends_within_a_second_has_its_releases_sent_again() {
-    for (ends_after, again) in [(999, vec![1]), (1_000, vec![])] {
-        let mut bench = Bench::new();
-        bench.put_out([1]);
-        bench.pass(200, |_| true);
-        bench.read();
-        bench.pass(ends_after - 200, |_| true);
-        assert_eq!(bench.ended(), again, "ended after {ends_after} ms");
+fn an_unconfirmed_release_is_sent_again_if_a_working_connection_closes_within_a_second() {
+    for (closed_after, resent) in [(999, vec![1]), (1_000, vec![])] {
+        let mut connection = TestConnection::new();
+        connection.send([1]);
+        connection.advance(200, |_| true);
+        connection.read();
+        connection.advance(closed_after - 200, |_| true);
+        assert_eq!(connection.close(), resent, "closed after {closed_after} ms");
     }
 }
 
 #[test]
-fn what_is_not_written_whole_is_repeated_though_the_connection_is_heard_from() {
-    let mut bench = Bench::new();
-    bench.queue(1, &[]);
-    bench.tracker.wrote(bench.now, LENGTH - 1);
-    bench.pass(200, |_| true);
-    bench.read();
-    bench.pass(1_000, |_| true);
-    assert_eq!(bench.repeated, [(1, REPEATED_AT)]);
+fn a_partially_written_release_is_repeated_even_if_bytes_are_read() {
+    let mut connection = TestConnection::new();
+    connection.queue(1, &[]);
+    connection.tracker.on_written(connection.now, BYE_LENGTH - 1);
+    connection.advance(200, |_| true);
+    connection.read();
+    connection.advance(1_000, |_| true);
+    assert_eq!(connection.repeated, [(1, REPEATED_AT_MS)]);
 }
 
 #[test]
-fn what_is_written_late_gets_its_time_from_then_on_and_still_less_than_a_second() {
-    let mut bench = Bench::new();
+fn the_timeout_of_a_release_written_late_starts_at_the_write_and_ends_within_a_second() {
+    let mut connection = TestConnection::new();
     for call in [1, 2] {
-        bench.queue(call, &[]);
-        bench.tracker.wrote(bench.now, 0);
+        connection.queue(call, &[]);
+        connection.tracker.on_written(connection.now, 0);
     }
-    bench.pass(299, |_| true);
-    bench.tracker.wrote(bench.now, LENGTH);
-    bench.pass(5_000, |_| true);
-    assert_eq!(bench.repeated.iter().map(|(call, _)| *call).collect::<Vec<_>>(), [1, 2]);
-    assert!(bench.repeated.iter().all(|(_, at)| *at < 700), "{:?}", bench.repeated);
+    connection.advance(299, |_| true);
+    connection.tracker.on_written(connection.now, BYE_LENGTH);
+    connection.advance(5_000, |_| true);
+    assert_eq!(connection.repeated.iter().map(|(call, _)| *call).collect::<Vec<_>>(), [1, 2]);
+    assert!(connection.repeated.iter().all(|(_, at)| *at < 700), "{:?}", connection.repeated);
 }
 
 #[test]
-fn a_check_that_comes_late_is_followed_by_another_before_anything_is_repeated() {
-    let mut bench = Bench::new();
-    bench.put_out([1]);
-    bench.now += MILLI * 5_000;
-    bench.tracker.check(bench.now, |_| panic!("the socket's news may not be known yet"));
-    // The news: the 200 had waited there.
-    bench.read();
-    bench.tracker.confirmed(CallName(1));
-    bench.pass(1_000, |_| true);
-    assert!(bench.repeated.is_empty());
+fn a_late_check_repeats_nothing_before_a_second_check() {
+    let mut connection = TestConnection::new();
+    connection.send([1]);
+    connection.now += MILLISECOND * 5_000;
+    connection.tracker.check(connection.now, |_| panic!("data in the socket may not have been read yet"));
+    // The 200 was in the socket.
+    connection.read();
+    connection.tracker.on_confirmed(CallName(1));
+    connection.advance(1_000, |_| true);
+    assert!(connection.repeated.is_empty());
 }
 
 #[test]
-fn a_release_is_held_until_another_connection_takes_it() {
-    let mut bench = Bench::new();
-    bench.put_out([1, 2]);
-    bench.pass(5_000, |since| since >= Duration::from_millis(2_000));
-    assert_eq!(bench.repeated.len(), 2);
-    assert!(bench.repeated.iter().all(|(_, at)| (2_000..=2_100).contains(at)), "{:?}", bench.repeated);
+fn a_release_is_retried_until_another_connection_takes_it() {
+    let mut connection = TestConnection::new();
+    connection.send([1, 2]);
+    connection.advance(5_000, |since| since >= Duration::from_millis(2_000));
+    assert_eq!(connection.repeated.len(), 2);
+    assert!(
+        connection.repeated.iter().all(|(_, at)| (2_000..=2_100).contains(at)),
+        "{:?}",
+        connection.repeated
+    );
 }
 
 #[test]
-fn a_release_that_is_held_goes_out_as_its_connection_ends_and_is_forgotten_after_a_while() {
-    for (ends_after, again) in [(5_000, vec![1]), (9_999, vec![1]), (10_000, vec![]), (30_000, vec![])] {
-        let mut bench = Bench::new();
-        bench.put_out([1]);
-        bench.pass(ends_after, |_| false);
-        assert_eq!(bench.ended(), again, "ended after {ends_after} ms");
+fn an_untaken_release_is_sent_again_on_close_until_its_timeout() {
+    for (closed_after, resent) in [(5_000, vec![1]), (9_999, vec![1]), (10_000, vec![]), (30_000, vec![])] {
+        let mut connection = TestConnection::new();
+        connection.send([1]);
+        connection.advance(closed_after, |_| false);
+        assert_eq!(connection.close(), resent, "closed after {closed_after} ms");
     }
-    let mut bench = Bench::new();
-    bench.put_out([1]);
-    bench.pass(30_000, |_| false);
-    assert_eq!(bench.tracker.check_at(), None, "nothing is checked for ever");
+    let mut connection = TestConnection::new();
+    connection.send([1]);
+    connection.advance(30_000, |_| false);
+    assert_eq!(connection.tracker.check_at(), None, "checks end");
 }
 
 #[test]
-fn a_release_that_is_held_is_settled_once_its_connection_is_heard_from() {
-    let mut bench = Bench::new();
-    bench.put_out([1]);
-    bench.pass(3_000, |_| false);
-    bench.read();
-    bench.pass(5_000, |_| true);
-    assert!(bench.repeated.is_empty());
-    assert!(bench.ended().is_empty());
+fn an_untaken_release_is_not_repeated_after_bytes_are_read() {
+    let mut connection = TestConnection::new();
+    connection.send([1]);
+    connection.advance(3_000, |_| false);
+    connection.read();
+    connection.advance(5_000, |_| true);
+    assert!(connection.repeated.is_empty());
+    assert!(connection.close().is_empty());
 }
 
 #[test]
-fn a_release_that_was_tried_often_enough_is_repeated_only_as_its_connection_ends() {
+fn a_release_at_the_limit_of_repeats_is_sent_again_only_on_close() {
     for (tried, repeats) in [(&[1][..], 1), (&[1, 2], 0)] {
-        let mut bench = Bench::new();
-        bench.queue(1, tried);
-        bench.write_all();
-        bench.pass(900, |_| true);
-        assert_eq!(bench.repeated.len(), repeats, "swallowed by {tried:?}");
-        assert_eq!(bench.ended().len(), 1 - repeats);
+        let mut connection = TestConnection::new();
+        connection.queue(1, tried);
+        connection.write_all();
+        connection.advance(900, |_| true);
+        assert_eq!(connection.repeated.len(), repeats, "tried on {tried:?}");
+        assert_eq!(connection.close().len(), 1 - repeats);
     }
 }
 
 #[test]
-fn many_releases_are_repeated_in_bounded_batches_and_all_within_a_second() {
-    const MANY: u64 = 5_000;
-    let mut bench = Bench::new();
-    bench.put_out(1..=MANY);
-    bench.pass(1_000, |_| true);
+fn many_releases_are_repeated_in_bounded_batches_within_a_second() {
+    const CALLS: u64 = 5_000;
+    let mut connection = TestConnection::new();
+    connection.send(1..=CALLS);
+    connection.advance(1_000, |_| true);
     assert_eq!(
-        bench.repeated.iter().map(|(call, _)| *call).collect::<Vec<_>>(),
-        (1..=MANY).collect::<Vec<_>>()
+        connection.repeated.iter().map(|(call, _)| *call).collect::<Vec<_>>(),
+        (1..=CALLS).collect::<Vec<_>>()
     );
-    let batches = bench.repeated.chunk_by(|a, b| a.1 == b.1).map(<[_]>::len);
-    assert!(batches.into_iter().all(|batch| batch <= MAX_BATCH));
-    let last = bench.repeated.last().expect("some").1;
+    let batches = connection.repeated.chunk_by(|a, b| a.1 == b.1).map(<[_]>::len);
+    assert!(batches.into_iter().all(|batch| batch <= MAX_BATCH_SIZE));
+    let last = connection.repeated.last().expect("some").1;
     assert!(last < 600, "the last after {last} ms");
 }
 
 #[test]
-fn the_table_is_bounded_and_forgets_the_oldest() {
-    let mut bench = Bench::new();
-    bench.put_out(1..=MAX_TRACKED as u64 + 10);
-    let calls = bench.ended();
-    assert_eq!(calls.len(), MAX_TRACKED);
+fn tracked_releases_are_bounded_and_the_oldest_are_dropped() {
+    let mut connection = TestConnection::new();
+    connection.send(1..=MAX_TRACKED_RELEASES as u64 + 10);
+    let calls = connection.close();
+    assert_eq!(calls.len(), MAX_TRACKED_RELEASES);
     assert_eq!(calls.first(), Some(&11));
 }
 
 #[test]
-fn no_order_of_events_repeats_a_call_twice_or_loses_one_on_a_silent_connection() {
+fn random_events_never_lose_a_release_or_repeat_it_twice() {
     use rand::rngs::StdRng;
     use rand::{RngExt, SeedableRng};
     for seed in 0..300 {
         let mut random = StdRng::seed_from_u64(seed);
-        let mut bench = Bench::new();
-        let (mut last, mut done) = (0, Vec::new());
+        let mut connection = TestConnection::new();
+        let (mut last, mut confirmed) = (0, Vec::new());
         for _ in 0..60 {
             match random.random_range(0..6) {
                 0 | 1 => {
                     last += 1;
-                    bench.queue(last, &[]);
-                    let taken = bench.queued - random.random_range(0..2) * LENGTH / 2;
-                    bench.tracker.wrote(bench.now, taken.max(bench.tracker.written));
+                    connection.queue(last, &[]);
+                    let written = connection.queued - random.random_range(0..2) * BYE_LENGTH / 2;
+                    connection.tracker.on_written(connection.now, written.max(connection.tracker.written));
                 }
-                2 => bench.write_all(),
+                2 => connection.write_all(),
                 3 => {
                     let call = random.random_range(0..=last);
-                    bench.tracker.confirmed(CallName(call));
-                    done.push(call);
+                    connection.tracker.on_confirmed(CallName(call));
+                    confirmed.push(call);
                 }
                 _ => {
-                    let others = random.random_bool(0.7);
-                    bench.pass(random.random_range(0..400), |_| others);
+                    let is_taken = random.random_bool(0.7);
+                    connection.advance(random.random_range(0..400), |_| is_taken);
                 }
             }
         }
-        // Nothing was ever read: at the end each call was confirmed or sent elsewhere, once.
-        bench.pass(2_000, |_| true);
-        let mut sent: Vec<u64> = bench.repeated.iter().map(|(call, _)| *call).collect();
+        // No read was reported, so each call must have been confirmed or repeated, and repeated at most once.
+        connection.advance(2_000, |_| true);
+        let mut sent: Vec<u64> = connection.repeated.iter().map(|(call, _)| *call).collect();
         sent.sort_unstable();
         assert!(sent.windows(2).all(|two| two[0] < two[1]), "seed {seed}: {sent:?}");
         for call in 1..=last {
-            assert!(sent.contains(&call) || done.contains(&call), "seed {seed}: {call} is lost");
+            assert!(
+                sent.contains(&call) || confirmed.contains(&call),
+                "seed {seed}: the release of {call} is lost"
+            );
         }
     }
 }
