--- a/src/net/sip_server/connection.rs
+++ b/src/net/sip_server/connection.rs
@@ -89,13 +89,15 @@
     received_request: bool,
     /// Since when an incomplete message has been awaited; initially since the connection was accepted.
     partial_since: Option<Instant>,
+    /// When something was last read from the caller or sent to it.
     last_used: Instant,
-    /// NoData more is read, and the connection closes once the output is written.
+    /// Nothing more is read, and the connection closes once the output is written.
     is_closing: bool,
     /// Inputs parsed and not yet sent to the core.
     pending: PendingInputs,
     /// Part of a flood was sent to the core, whose answers are awaited before more is read.
     sent_part: bool,
+    /// This connection's share of the outstanding work, for which a shutdown waits.
     outstanding: Debt,
 }
 
@@ -410,7 +412,7 @@
 
     /// Writes the refusals and failures that were queued before the connection was found closed, as far as the socket
     /// accepts them at once: a caller that only shut its side for writing still reads them. Returns the other commands.
-    /// NoData is written while an answer is not written whole, since its call is about to be released.
+    /// Nothing is written while an answer is not written whole, since its call is about to be released.
     async fn write_last_refusals(
         &mut self,
         stream: &TcpStream,
--- a/tests/front/server.rs
+++ b/tests/common/sip_test_server.rs
@@ -1,4 +1,4 @@
-//! The SIP server inside the test's own process, with the test as its core.
+//! Runs the SIP server inside the test process, with the test in the place of the core.
 #![allow(dead_code)]
 
 use petreldock::core::*;
@@ -11,20 +11,24 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Generous, so that a slow machine gives the same verdict.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for anything a test waits for; long enough that a slow machine does not fail the test.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A SIP server with this test as its core.
+/// A SIP server whose core is the test.
 pub struct TestServer {
+    /// Address on which it listens.
     pub address: SocketAddr,
+    /// Inputs that it sends to the core.
     pub inputs: mpsc::Receiver<Input>,
+    /// Messages from the core to it.
     pub answers: mpsc::Sender<ToFront>,
+    /// Its outstanding work.
     pub owed: Owed,
     _status: watch::Sender<Status>,
 }
 
-/// A request as callers write it.
-pub fn message(method: &str, call: u64) -> String {
+/// Formats a request as callers send it.
+pub fn request(method: &str, call: u64) -> String {
     format!(
         "{method} sip:1@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call:016x}\r\nCSeq: 1 {method}\r\n\
          Call-Kind: voice\r\nAnswer-Within: 30000\r\nContent-Length: 0\r\n\r\n"
@@ -32,7 +36,7 @@
 }
 
 impl TestServer {
-    /// Starts one at a free port.
+    /// Starts a server on a free port.
     pub async fn start() -> TestServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -46,23 +50,24 @@
         TestServer { address, inputs, answers, owed, _status: sender }
     }
 
-    /// A caller whose connection the server has taken in, as its answer to a test shows.
-    pub async fn caller(&self, silent: bool) -> TcpStream {
+    /// Connects a caller. Unless `is_partial`, it sends a whole OPTIONS and waits for the response, which shows that the
+    /// server has accepted the connection; else it sends only the first 20 bytes of an OPTIONS.
+    pub async fn connect_caller(&self, is_partial: bool) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).expect("it listens");
         stream.set_nonblocking(true).expect("set");
-        let said = if silent { &message("OPTIONS", 0)[..20] } else { &message("OPTIONS", 0) };
-        stream.write_all(said.as_bytes()).expect("written");
+        let sent = if is_partial { &request("OPTIONS", 0)[..20] } else { &request("OPTIONS", 0) };
+        stream.write_all(sent.as_bytes()).expect("written");
         let mut bytes = [0; 512];
-        while !silent && stream.read(&mut bytes).is_err() {
+        while !is_partial && stream.read(&mut bytes).is_err() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         tokio::time::sleep(Duration::from_millis(1)).await;
         stream
     }
 
-    /// The next set-up that the server hands to its core.
-    pub async fn offer(&mut self) -> Offer {
-        match timeout(PATIENCE, self.inputs.recv()).await.expect("in time") {
+    /// Waits for the next set-up that the server sends to the core.
+    pub async fn next_offer(&mut self) -> Offer {
+        match timeout(WAIT_TIMEOUT, self.inputs.recv()).await.expect("in time") {
             Some(Input::Offer(offer)) => offer,
             other => panic!("a set-up was expected, not {other:?}"),
         }
--- a/tests/overtaken_answers.rs
+++ b/tests/release_before_answer.rs
@@ -1,5 +1,5 @@
-//! Releases that overtake their own answer, on the started program: a hub's answer is held up on its way, and its
-//! release of the same call comes first. The scripted hubs say each word when the test tells them to.
+//! Tests of the started program with a hub whose answer to a call arrives after its release of the same call, or after
+//! the attempt was lost. The scripted hubs send each message when the test tells them to.
 
 #[path = "common/peers.rs"]
 mod peers;
@@ -14,18 +14,18 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A call that is over is released towards its caller within this (PROTOCOL, 'The rules on sockets').
-const RULE: Duration = Duration::from_secs(1);
-/// How long after its release an answer still comes.
-const LATE: [Duration; 3] =
+/// Time after the hub's release within which the caller must be told.
+const MAX_RELEASE_DELAY: Duration = Duration::from_secs(1);
+/// Delays of the answer after the release.
+const ANSWER_DELAYS: [Duration; 3] =
     [Duration::from_millis(50), Duration::from_millis(1_000), Duration::from_millis(4_000)];
-/// The causes of a release that can end a call that stood.
+/// Release causes that can end an answered call.
 const CAUSES: [u8; 2] = [16, 41];
-/// Far longer than the pause before a further attempt (200 ms).
-const SETTLED: Duration = Duration::from_millis(600);
+/// Time after which no further message is expected; far longer than the pause before a further attempt (200 ms).
+const SETTLE_TIME: Duration = Duration::from_millis(600);
 
-/// A call whose release comes first, and when its answer is due.
-struct Overtaken {
+/// A call whose hub has released it and answers it later.
+struct ReleasedCall {
     call: u64,
     cause: u8,
     set_up: Sent,
@@ -33,12 +33,13 @@
     caller: Caller,
 }
 
-fn effect(name: &'static str) -> impl Fn(String) -> String {
+/// Changes the idempotency of the class `voice`.
+fn with_idempotency(name: &'static str) -> impl Fn(String) -> String {
     move |text| unhurried(text).replace("\"idempotency\":\"free\"", &format!("\"idempotency\":\"{name}\""))
 }
 
-/// All that a caller was told of a call's set-up and of its end.
-fn told(caller: &mut Caller, call: u64) -> Vec<Said> {
+/// The final responses and the BYEs that a caller received for a call.
+fn received_messages(caller: &mut Caller, call: u64) -> Vec<Said> {
     caller.take_in();
     let of_call = |said: &&Said| match said {
         Said::Answer(c, status, ..) => *c == call && *status >= 200,
@@ -48,77 +49,82 @@
     caller.said.iter().filter(of_call).cloned().collect()
 }
 
-fn release_ahead(
+/// Sets up a call that its hub releases before it answers, and checks the caller's final response.
+fn release_before_answer(
     hub: &mut ScriptedHub,
     program: &Program,
     call: u64,
     cause: u8,
-    late: Duration,
-) -> Overtaken {
+    answer_delay: Duration,
+) -> ReleasedCall {
     let mut caller = Caller::connect(program.address);
     caller.invite(call, 15_000, 0);
     let set_up = hub.set_up(call, 1);
     let released = Instant::now();
     hub.say(set_up.link, kind::RELEASE, call, &[(code::CAUSE, &[cause])]);
     let (status, away, _) = caller.answer(call).expect("a final answer");
-    assert!(released.elapsed() < RULE, "cause {cause}: told after {:?}", released.elapsed());
-    assert_eq!((status, away), (500, None), "cause {cause}: it may have run, so it is not 'refused'");
-    Overtaken { call, cause, set_up, answer_at: released + late, caller }
+    assert!(released.elapsed() < MAX_RELEASE_DELAY, "cause {cause}: told after {:?}", released.elapsed());
+    assert_eq!((status, away), (500, None), "cause {cause}: the call may have run, so it is not refused");
+    ReleasedCall { call, cause, set_up, answer_at: released + answer_delay, caller }
 }
 
-/// A call that goes its ordinary way through the same hubs and connections.
-fn ordinary_call(hub: &mut ScriptedHub, program: &Program, call: u64) {
+/// Sets up, answers and releases a call on the same hubs and connections.
+fn complete_call(hub: &mut ScriptedHub, program: &Program, call: u64) {
     let mut caller = Caller::connect(program.address);
     caller.invite(call, 15_000, 0);
     let set_up = hub.set_up(call, 1);
     hub.answer(&set_up);
     assert_eq!(status(&mut caller, call), 200);
     hub.say(set_up.link, kind::RELEASE, call, &[(code::CAUSE, &[16])]);
-    caller.wait_for("the end of an ordinary call", |said| *said == Said::Bye(call, 16));
+    caller.wait_for("the BYE of a completed call", |said| *said == Said::Bye(call, 16));
 }
 
-fn a_release_ahead_of_its_answer_ends_the_call(class: &'static str) {
+fn answer_after_release_is_ignored(idempotency: &'static str) {
     let (mut hub, mut other) = (ScriptedHub::new(), ScriptedHub::new());
-    let program = Program::changed(&[hub.target(0), other.target(1)], None, effect(class));
-    let mut overtaken = Vec::new();
-    for (number, late) in LATE.into_iter().enumerate() {
+    let program = Program::changed(&[hub.target(0), other.target(1)], None, with_idempotency(idempotency));
+    let mut released_calls = Vec::new();
+    for (number, answer_delay) in ANSWER_DELAYS.into_iter().enumerate() {
         for cause in CAUSES {
             let call = 0x100 * (number as u64 + 1) + u64::from(cause);
-            overtaken.push(release_ahead(&mut hub, &program, call, cause, late));
+            released_calls.push(release_before_answer(&mut hub, &program, call, cause, answer_delay));
         }
     }
-    overtaken.sort_by_key(|o| o.answer_at);
-    for late in &overtaken {
-        sleep(late.answer_at.saturating_duration_since(Instant::now()));
-        hub.answer(&late.set_up);
+    released_calls.sort_by_key(|c| c.answer_at);
+    for released in &released_calls {
+        sleep(released.answer_at.saturating_duration_since(Instant::now()));
+        hub.answer(&released.set_up);
     }
-    ordinary_call(&mut hub, &program, 0x900);
-    sleep(SETTLED);
-    for Overtaken { call, cause, mut caller, .. } in overtaken {
-        let told = told(&mut caller, call);
-        assert_eq!(told.len(), 1, "one final answer and no end of a call that never stood: {cause} {told:?}");
+    complete_call(&mut hub, &program, 0x900);
+    sleep(SETTLE_TIME);
+    for ReleasedCall { call, cause, mut caller, .. } in released_calls {
+        let received = received_messages(&mut caller, call);
+        assert_eq!(
+            received.len(),
+            1,
+            "one final response, and no BYE for a call that was never answered: {cause} {received:?}"
+        );
         assert_eq!((hub.set_ups(call), other.set_ups(call)), (1, 0), "no further attempt, cause {cause}");
     }
-    ordinary_call(&mut hub, &program, 0x901);
+    complete_call(&mut hub, &program, 0x901);
 }
 
 #[test]
-fn a_release_ahead_of_its_answer_ends_a_call_that_may_be_repeated() {
-    a_release_ahead_of_its_answer_ends_the_call("free");
+fn an_answer_after_the_release_of_a_repeatable_call_is_ignored() {
+    answer_after_release_is_ignored("free");
 }
 
 #[test]
-fn a_release_ahead_of_its_answer_ends_a_call_that_is_guarded() {
-    a_release_ahead_of_its_answer_ends_the_call("guarded");
+fn an_answer_after_the_release_of_a_guarded_call_is_ignored() {
+    answer_after_release_is_ignored("guarded");
 }
 
 #[test]
-fn a_release_ahead_of_its_answer_ends_a_call_that_may_run_once() {
-    a_release_ahead_of_its_answer_ends_the_call("single_shot");
+fn an_answer_after_the_release_of_a_single_shot_call_is_ignored() {
+    answer_after_release_is_ignored("single_shot");
 }
 
 #[test]
-fn a_release_by_cause_16_may_overtake_its_answer_on_another_connection() {
+fn an_answer_after_a_release_on_another_connection_is_ignored() {
     let (mut hub, mut other) = (ScriptedHub::new(), ScriptedHub::new());
     let program = Program::changed(&[hub.target(0), other.target(1)], None, unhurried);
     until("two connections are up", || {
@@ -131,35 +137,35 @@
     let released = Instant::now();
     hub.say(1 - set_up.link, kind::RELEASE, 0x20, &[(code::CAUSE, &[16])]);
     assert_eq!(status(&mut caller, 0x20), 500);
-    assert!(released.elapsed() < RULE, "told after {:?}", released.elapsed());
-    // The set-up on the first connection may be a later attempt: it is given up.
+    assert!(released.elapsed() < MAX_RELEASE_DELAY, "told after {:?}", released.elapsed());
+    // The set-up on the first connection may be a later attempt, so the program gives it up.
     let give_up = hub.release(0x20);
     assert_eq!((give_up.link, give_up.cause), (set_up.link, Some(16)));
     hub.answer(&set_up);
-    ordinary_call(&mut hub, &program, 0x21);
-    sleep(SETTLED);
-    let told = told(&mut caller, 0x20);
-    assert_eq!(told.len(), 1, "{told:?}");
+    complete_call(&mut hub, &program, 0x21);
+    sleep(SETTLE_TIME);
+    let received = received_messages(&mut caller, 0x20);
+    assert_eq!(received.len(), 1, "{received:?}");
     assert_eq!((hub.set_ups(0x20), other.set_ups(0x20)), (1, 0));
 }
 
-/// When the answer to an attempt that is over comes at last.
+/// When the answer to the lost attempt arrives.
 #[derive(Clone, Copy, Debug)]
-enum Moment {
-    NextAttemptIsOut,
-    CallStands,
-    CallHasEnded,
+enum AnswerTime {
+    DuringNextAttempt,
+    DuringCall,
+    AfterCall,
 }
 
 #[test]
-fn an_answer_to_a_lost_attempt_is_released_at_its_hub_and_leaves_the_next_attempt_alone() {
-    for moment in [Moment::NextAttemptIsOut, Moment::CallStands, Moment::CallHasEnded] {
+fn an_answer_to_a_lost_attempt_is_released_at_its_hub_and_not_taken_for_the_next_attempts() {
+    for answer_time in [AnswerTime::DuringNextAttempt, AnswerTime::DuringCall, AnswerTime::AfterCall] {
         let (mut first, mut second) = (ScriptedHub::new(), ScriptedHub::new());
         let program = Program::changed(&[first.target(0), second.target(1)], None, unhurried);
         let mut caller = Caller::connect(program.address);
         caller.invite(0x30, 15_000, 0);
         let lost = first.set_up(0x30, 1);
-        // The connection ends under the set-up, which may have run; what the hub has to say comes on the next one.
+        // The connection closes during the set-up, which may have run; the hub's answer comes on another connection.
         first.break_connection(lost.link);
         let (hub_is_first, again) = until("the next attempt", || {
             first.take_in();
@@ -180,30 +186,33 @@
             hub.say(again.link, kind, 0x30, parameters);
         };
         let late = Sent { link, ..lost.clone() };
-        if matches!(moment, Moment::NextAttemptIsOut) {
+        if matches!(answer_time, AnswerTime::DuringNextAttempt) {
             first.answer(&late);
-            sleep(SETTLED);
-            let told = told(&mut caller, 0x30);
-            assert!(told.is_empty(), "that answer is nobody's: {told:?} {lost:?} {again:?} {late:?}");
+            sleep(SETTLE_TIME);
+            let received = received_messages(&mut caller, 0x30);
+            assert!(
+                received.is_empty(),
+                "the answer belongs to no attempt: {received:?} {lost:?} {again:?} {late:?}"
+            );
         }
         next(&mut first, &mut second, kind::ANSWER, &[(code::DESCRIPTION, HUB_BODY)]);
         assert_eq!(status(&mut caller, 0x30), 200);
-        if matches!(moment, Moment::CallStands) {
+        if matches!(answer_time, AnswerTime::DuringCall) {
             first.answer(&late);
-            sleep(SETTLED);
-            assert_eq!(told(&mut caller, 0x30).len(), 1, "the call stands on");
+            sleep(SETTLE_TIME);
+            assert_eq!(received_messages(&mut caller, 0x30).len(), 1, "the call continues");
         }
         next(&mut first, &mut second, kind::RELEASE, &[(code::CAUSE, &[16])]);
-        caller.wait_for("its end", |said| *said == Said::Bye(0x30, 16));
-        if matches!(moment, Moment::CallHasEnded) {
+        caller.wait_for("the BYE", |said| *said == Said::Bye(0x30, 16));
+        if matches!(answer_time, AnswerTime::AfterCall) {
             first.answer(&late);
         }
         if !hub_is_first {
-            assert_eq!(first.release(0x30).cause, Some(16), "{moment:?}: nothing is left standing there");
+            assert_eq!(first.release(0x30).cause, Some(16), "{answer_time:?}: the call is released there");
         }
-        sleep(SETTLED);
-        let told = told(&mut caller, 0x30);
-        assert_eq!(told.len(), 2, "{moment:?}: one answer, one end: {told:?}");
-        assert_eq!(first.set_ups(0x30) + second.set_ups(0x30), 2, "{moment:?}");
+        sleep(SETTLE_TIME);
+        let received = received_messages(&mut caller, 0x30);
+        assert_eq!(received.len(), 2, "{answer_time:?}: one answer and one BYE: {received:?}");
+        assert_eq!(first.set_ups(0x30) + second.set_ups(0x30), 2, "{answer_time:?}");
     }
 }
--- /dev/null
+++ b/tests/unresponsive_callers.rs
@@ -0,0 +1,427 @@
+//! Tests with callers whose connections stay open although their machine failed or their network was cut. A release
+//! written to such a connection is lost, and must be sent on another connection within 1 s of the hub's release.
+
+#[path = "common/peers.rs"]
+mod peers;
+#[path = "common/script.rs"]
+mod script;
+#[path = "common/sip_test_server.rs"]
+mod sip_test_server;
+#[path = "common/site.rs"]
+mod site;
+
+use bytes::Bytes;
+use petreldock::core::{CallName, Cause, Description, Origin, ToFront};
+use petreldock::net::binary::{code, kind};
+use petreldock::net::sip::{self, Start};
+use petreldock::net::SDP;
+use sip_test_server::{request, TestServer};
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::time::{Duration, Instant};
+
+/// Time after the hub's release within which the caller must receive its BYE.
+const MAX_RELEASE_DELAY: Duration = Duration::from_secs(1);
+/// Time after which no further repeat is expected; longer than any repeat takes.
+const SETTLE_TIME: Duration = Duration::from_millis(1_500);
+const MILLISECOND: Duration = Duration::from_millis(1);
+const CAUSE: Cause = Cause(16);
+
+/// One caller connection, which is read only when the test calls for it.
+struct CallerConnection {
+    stream: TcpStream,
+    input: Vec<u8>,
+    /// Whether each BYE that is read is answered at once.
+    answers_byes: bool,
+    /// The calls of the BYEs received, and when they were read.
+    byes: Vec<(u64, Instant)>,
+    /// Number of responses received.
+    responses: usize,
+}
+
+impl CallerConnection {
+    /// Connects, and waits until the server has answered an OPTIONS on the connection.
+    async fn connect(server: &TestServer) -> CallerConnection {
+        let stream = server.connect_caller(false).await;
+        CallerConnection { stream, input: Vec::new(), answers_byes: true, byes: Vec::new(), responses: 0 }
+    }
+
+    fn send(&mut self, text: &str) {
+        self.stream.write_all(text.as_bytes()).expect("room");
+    }
+
+    fn answer_bye(&mut self, call: u64) {
+        self.send(&format!(
+            "SIP/2.0 200 OK\r\nVia: x\r\nCall-ID: {call:016x}\r\nCSeq: 1 BYE\r\nContent-Length: 0\r\n\r\n"
+        ));
+    }
+
+    /// Reads and handles the available data.
+    fn read_available(&mut self) {
+        let mut bytes = [0; 16 * 1024];
+        while let Ok(count @ 1..) = self.stream.read(&mut bytes) {
+            self.input.extend_from_slice(&bytes[..count]);
+        }
+        let (mut used, mut calls) = (0, Vec::new());
+        while let Ok(Some(message)) = sip::parse(&self.input[used..]) {
+            match message.start {
+                Start::Request("BYE", _) => {
+                    let id = message.header("Call-ID").expect("a call");
+                    calls.push(u64::from_str_radix(id, 16).expect("a number"));
+                }
+                Start::Request(..) => panic!("nothing but BYE is sent to callers"),
+                Start::Response(_) => self.responses += 1,
+            }
+            used += message.bytes;
+        }
+        self.input.drain(..used);
+        for call in calls {
+            self.byes.push((call, Instant::now()));
+            if self.answers_byes {
+                self.answer_bye(call);
+            }
+        }
+    }
+
+    /// Reads for the given time.
+    async fn read_for(&mut self, time: Duration) {
+        let end = Instant::now() + time;
+        while Instant::now() < end {
+            self.read_available();
+            tokio::time::sleep(MILLISECOND).await;
+        }
+    }
+
+    /// Reads until `count` BYEs have been received in all.
+    async fn read_byes(&mut self, count: usize) {
+        let end = Instant::now() + sip_test_server::WAIT_TIMEOUT;
+        while self.byes.len() < count {
+            assert!(Instant::now() < end, "{} of {count} BYEs received", self.byes.len());
+            self.read_available();
+            tokio::time::sleep(MILLISECOND).await;
+        }
+    }
+
+    fn bye_calls(&self) -> Vec<u64> {
+        self.byes.iter().map(|(call, _)| *call).collect()
+    }
+}
+
+impl TestServer {
+    /// Sets up and answers a call on a connection, with a description of `length` bytes. The caller does not read the
+    /// answer.
+    async fn establish_call(&mut self, caller: &mut CallerConnection, call: u64, length: usize) -> Origin {
+        caller.send(&request("INVITE", call));
+        let offer = self.next_offer().await;
+        let description = Description { form: SDP, bytes: Bytes::from(vec![b'v'; length]) };
+        let answer = ToFront::Answer(offer.origin, offer.call, description);
+        self.answers.send(answer).await.expect("taken");
+        offer.origin
+    }
+
+    /// Has the core release a call, as after the hub's release, and returns the time.
+    async fn release(&mut self, origin: Origin, call: u64) -> Instant {
+        let now = Instant::now();
+        let release = ToFront::Release(Some(origin), CallName(call), CAUSE);
+        self.answers.send(release).await.expect("taken");
+        now
+    }
+
+    /// Waits until the server has processed what was sent to it.
+    async fn settle(&self) {
+        tokio::time::sleep(Duration::from_millis(50)).await;
+    }
+}
+
+fn assert_in_time(released: Instant, received: Instant) {
+    let took = received.saturating_duration_since(released);
+    eprintln!("released on the other connection after {} ms", took.as_millis());
+    assert!(took < MAX_RELEASE_DELAY, "{took:?} after the hub's release");
+}
+
+#[tokio::test]
+async fn a_release_lost_on_an_unresponsive_connection_is_sent_on_another_within_a_second() {
+    for unresponsive_is_used_last in [false, true] {
+        let mut server = TestServer::start().await;
+        let mut unresponsive = CallerConnection::connect(&server).await;
+        let mut other = CallerConnection::connect(&server).await;
+        let origin = server.establish_call(&mut unresponsive, 1, 0).await;
+        if !unresponsive_is_used_last {
+            other.send(&request("OPTIONS", 0));
+            server.settle().await;
+        }
+        let released = server.release(origin, 1).await;
+        other.read_byes(1).await;
+        assert_in_time(released, other.byes[0].1);
+        other.read_for(SETTLE_TIME).await;
+        assert_eq!(other.bye_calls(), [1], "released only once");
+        unresponsive.read_available();
+        assert_eq!(unresponsive.bye_calls(), [1], "not repeated on the same connection");
+    }
+}
+
+#[tokio::test]
+async fn a_release_is_repeated_on_the_only_responsive_connection() {
+    let mut server = TestServer::start().await;
+    let mut responsive = CallerConnection::connect(&server).await;
+    let mut unresponsive = Vec::new();
+    for call in 1..=4 {
+        let mut caller = CallerConnection::connect(&server).await;
+        let origin = server.establish_call(&mut caller, call, 0).await;
+        unresponsive.push((caller, origin));
+    }
+    server.settle().await;
+    responsive.send(&request("OPTIONS", 0));
+    server.settle().await;
+    let mut released = Vec::new();
+    for (call, (_, origin)) in (1..).zip(&unresponsive) {
+        released.push(server.release(*origin, call).await);
+    }
+    responsive.read_byes(4).await;
+    for (call, received) in &responsive.byes {
+        assert_in_time(released[*call as usize - 1], *received);
+    }
+    responsive.read_for(SETTLE_TIME).await;
+    let mut calls = responsive.bye_calls();
+    calls.sort_unstable();
+    assert_eq!(calls, [1, 2, 3, 4], "each call is released once");
+}
+
+#[tokio::test]
+async fn a_connection_that_was_only_written_to_does_not_count_as_responsive() {
+    let mut server = TestServer::start().await;
+    let (mut first, mut second) =
+        (CallerConnection::connect(&server).await, CallerConnection::connect(&server).await);
+    let origins =
+        [server.establish_call(&mut first, 1, 0).await, server.establish_call(&mut second, 2, 0).await];
+    let mut responsive = CallerConnection::connect(&server).await;
+    let released = server.release(origins[0], 1).await;
+    tokio::time::sleep(Duration::from_millis(100)).await;
+    // Now it is the connection used last, although nothing was read from it.
+    server.release(origins[1], 2).await;
+    responsive.read_byes(2).await;
+    assert_eq!(responsive.bye_calls(), [1, 2]);
+    assert_in_time(released, responsive.byes[0].1);
+    second.read_available();
+    assert_eq!(second.bye_calls(), [2], "nothing else is sent on it");
+}
+
+#[tokio::test]
+async fn a_repeat_lost_on_a_second_connection_is_sent_on_a_third() {
+    let mut server = TestServer::start().await;
+    let mut responsive = CallerConnection::connect(&server).await;
+    // Read from later than the responsive one, so that it is chosen first.
+    let mut second = CallerConnection::connect(&server).await;
+    let mut first = CallerConnection::connect(&server).await;
+    let origin = server.establish_call(&mut first, 1, 0).await;
+    let released = server.release(origin, 1).await;
+    responsive.read_byes(1).await;
+    assert_in_time(released, responsive.byes[0].1);
+    responsive.read_for(SETTLE_TIME).await;
+    assert_eq!(responsive.bye_calls(), [1]);
+    second.read_available();
+    assert_eq!(second.bye_calls(), [1], "it was tried first");
+}
+
+#[tokio::test]
+async fn a_release_without_another_connection_is_sent_on_the_next_one() {
+    for later in [300, 2_000] {
+        let mut server = TestServer::start().await;
+        let mut unresponsive = CallerConnection::connect(&server).await;
+        let origin = server.establish_call(&mut unresponsive, 1, 0).await;
+        let released = server.release(origin, 1).await;
+        tokio::time::sleep(Duration::from_millis(later)).await;
+        let opened = Instant::now();
+        let mut next = CallerConnection::connect(&server).await;
+        next.read_byes(1).await;
+        let by = if later < 1_000 { released } else { opened };
+        assert_in_time(by, next.byes[0].1);
+        next.read_for(SETTLE_TIME).await;
+        assert_eq!(next.bye_calls(), [1]);
+    }
+}
+
+#[tokio::test]
+async fn a_200_after_the_repeat_leaves_the_connection_usable() {
+    let mut server = TestServer::start().await;
+    let mut slow = CallerConnection::connect(&server).await;
+    let mut other = CallerConnection::connect(&server).await;
+    let origin = server.establish_call(&mut slow, 1, 0).await;
+    server.establish_call(&mut slow, 2, 0).await;
+    server.release(origin, 1).await;
+    other.read_byes(1).await;
+    slow.read_for(SETTLE_TIME).await;
+    assert_eq!(slow.bye_calls(), [1], "it reads and answers late");
+    other.read_available();
+    assert_eq!(other.bye_calls(), [1]);
+    // The connection is used as before: its calls are released on it, and it takes new calls.
+    server.release(origin, 2).await;
+    slow.read_for(SETTLE_TIME).await;
+    server.establish_call(&mut slow, 3, 0).await;
+    server.release(origin, 3).await;
+    slow.read_for(SETTLE_TIME).await;
+    other.read_available();
+    assert_eq!((slow.bye_calls(), other.bye_calls()), (vec![1, 2, 3], vec![1]));
+}
+
+#[tokio::test]
+async fn a_release_blocked_by_unread_output_is_sent_on_another_connection() {
+    const LONG_DESCRIPTION_LENGTH: usize = 12 * 1024;
+    let mut server = TestServer::start().await;
+    let mut blocked = CallerConnection::connect(&server).await;
+    let mut other = CallerConnection::connect(&server).await;
+    let (mut call, mut origin) = (0, Origin(0));
+    // Answers calls of a caller that reads nothing, until an answer remains partially written.
+    while server.owed.count() == 0 {
+        call += 1;
+        assert!(call < 5_000, "the socket buffers never fill up");
+        origin = server.establish_call(&mut blocked, call, LONG_DESCRIPTION_LENGTH).await;
+        let start = Instant::now();
+        while server.owed.count() > 0 && start.elapsed() < Duration::from_millis(100) {
+            tokio::time::sleep(MILLISECOND).await;
+        }
+    }
+    let released = server.release(origin, call).await;
+    other.read_byes(1).await;
+    assert_in_time(released, other.byes[0].1);
+    other.read_for(SETTLE_TIME).await;
+    assert_eq!(other.bye_calls(), [call]);
+}
+
+#[tokio::test]
+async fn all_calls_of_an_unresponsive_connection_are_released_on_a_responsive_one() {
+    // More than one batch of repeats.
+    const CALLS: u64 = 300;
+    let mut server = TestServer::start().await;
+    let mut unresponsive = CallerConnection::connect(&server).await;
+    let mut responsive = CallerConnection::connect(&server).await;
+    let mut origin = Origin(0);
+    for call in 1..=CALLS {
+        origin = server.establish_call(&mut unresponsive, call, 0).await;
+    }
+    responsive.send(&request("OPTIONS", 0));
+    server.settle().await;
+    let mut released = Instant::now();
+    for call in 1..=CALLS {
+        released = server.release(origin, call).await;
+    }
+    responsive.read_byes(CALLS as usize).await;
+    assert_in_time(released, responsive.byes.last().expect("some").1);
+    responsive.read_for(SETTLE_TIME).await;
+    let mut calls = responsive.bye_calls();
+    calls.sort_unstable();
+    assert_eq!(calls, (1..=CALLS).collect::<Vec<_>>(), "each call is released once");
+}
+
+#[tokio::test]
+async fn a_further_release_is_not_delayed_by_a_connection_known_to_be_unresponsive() {
+    let mut server = TestServer::start().await;
+    let mut unresponsive = CallerConnection::connect(&server).await;
+    let mut other = CallerConnection::connect(&server).await;
+    let origin = server.establish_call(&mut unresponsive, 1, 0).await;
+    server.establish_call(&mut unresponsive, 2, 0).await;
+    server.release(origin, 1).await;
+    other.read_byes(1).await;
+    server.release(origin, 2).await;
+    other.read_byes(2).await;
+    other.read_for(SETTLE_TIME).await;
+    assert_eq!(other.bye_calls(), [1, 2]);
+    unresponsive.read_available();
+    assert_eq!(unresponsive.bye_calls(), [1], "the second release is not tried there");
+}
+
+#[tokio::test]
+async fn a_release_that_is_confirmed_in_time_is_not_repeated() {
+    for late in [0, 100] {
+        let mut server = TestServer::start().await;
+        let mut healthy = CallerConnection::connect(&server).await;
+        let mut other = CallerConnection::connect(&server).await;
+        healthy.answers_byes = false;
+        let origin = server.establish_call(&mut healthy, 1, 0).await;
+        other.send(&request("OPTIONS", 0));
+        server.release(origin, 1).await;
+        healthy.read_byes(1).await;
+        tokio::time::sleep(Duration::from_millis(late)).await;
+        healthy.answer_bye(1);
+        healthy.read_for(SETTLE_TIME).await;
+        other.read_available();
+        assert_eq!((healthy.bye_calls(), other.bye_calls()), (vec![1], vec![]));
+    }
+}
+
+#[tokio::test]
+async fn a_caller_that_sends_requests_but_confirms_no_release_gets_no_repeat() {
+    let mut server = TestServer::start().await;
+    let mut talkative = CallerConnection::connect(&server).await;
+    let mut other = CallerConnection::connect(&server).await;
+    talkative.answers_byes = false;
+    let origin = server.establish_call(&mut talkative, 1, 0).await;
+    other.send(&request("OPTIONS", 0));
+    server.release(origin, 1).await;
+    for _ in 0..30 {
+        talkative.send(&request("OPTIONS", 0));
+        talkative.read_for(Duration::from_millis(50)).await;
+    }
+    other.read_available();
+    assert_eq!((talkative.bye_calls(), other.bye_calls()), (vec![1], vec![]));
+}
+
+#[tokio::test]
+async fn a_200_in_the_socket_of_a_starved_process_prevents_the_repeat() {
+    // It is random whether the runtime reports a timer or a socket first, so one connection would not be enough.
+    const CALLERS: u64 = 24;
+    let mut server = TestServer::start().await;
+    let mut callers = Vec::new();
+    for call in 1..=CALLERS {
+        let mut caller = CallerConnection::connect(&server).await;
+        caller.answers_byes = false;
+        let origin = server.establish_call(&mut caller, call, 0).await;
+        callers.push((call, caller, origin));
+    }
+    for (call, _, origin) in &callers {
+        server.release(*origin, *call).await;
+    }
+    for (call, caller, _) in &mut callers {
+        caller.read_byes(1).await;
+        caller.answer_bye(*call);
+    }
+    // Blocks the runtime, so that the timeout and the data in the sockets are seen at the same moment.
+    std::thread::sleep(SETTLE_TIME);
+    tokio::time::sleep(SETTLE_TIME).await;
+    for (call, caller, _) in &mut callers {
+        caller.read_available();
+        assert_eq!(caller.bye_calls(), [*call]);
+    }
+}
+
+#[tokio::test]
+async fn closing_an_unresponsive_connection_does_not_repeat_its_release_again() {
+    let mut server = TestServer::start().await;
+    let mut unresponsive = CallerConnection::connect(&server).await;
+    let mut other = CallerConnection::connect(&server).await;
+    let origin = server.establish_call(&mut unresponsive, 1, 0).await;
+    server.release(origin, 1).await;
+    other.read_byes(1).await;
+    drop(unresponsive);
+    other.read_for(SETTLE_TIME).await;
+    assert_eq!(other.bye_calls(), [1]);
+}
+
+#[test]
+fn the_program_releases_calls_of_an_unresponsive_caller_on_another_connection() {
+    use peers::{Caller, Program, Said};
+    let mut hub = script::ScriptedHub::new();
+    let program = Program::start(&[hub.target(0)], None, None);
+    let mut unresponsive = Caller::connect(program.address);
+    unresponsive.invite(0xa1, 1_500, 0);
+    let set_up = hub.set_up(0xa1, 1);
+    hub.answer(&set_up);
+    assert_eq!(script::status(&mut unresponsive, 0xa1), 200);
+    let mut other = Caller::connect(program.address);
+    other.send("OPTIONS", 0, "", b"");
+    assert_eq!(other.answer(0).map(|a| a.0), Some(200));
+    let released = Instant::now();
+    hub.say(set_up.link, kind::RELEASE, 0xa1, &[(code::CAUSE, &[16])]);
+    other.wait_for("the release on the other connection", |said| *said == Said::Bye(0xa1, 16));
+    assert_in_time(released, Instant::now());
+}
