--- a/tests/abandoned_calls.rs
+++ b/tests/abandoned_calls.rs
@@ -43,7 +43,7 @@
     Cancel,
 }
 
-/// EventOrder of the hub's messages and the callers' abandonments while the program is stopped.
+/// Order of the hub's messages and the callers' abandonments while the program is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EventOrder {
     HubFirst,
@@ -76,7 +76,7 @@
         self.invite_to(0);
     }
 
-    /// Sends the INVITE with a place for the call.
+    /// Sends the INVITE with a place, which selects the preferred hub.
     fn invite_to(&mut self, place: i64) {
         let (caller, call) = (self.caller.as_mut().expect("connected"), self.call);
         caller.invite(call, ANSWER_WITHIN_MS, place);
@@ -121,10 +121,10 @@
     }
     until("the abandonments are in the sockets", || {
         let table = tcp_table();
-        let seen = |p: &Party| {
+        let has_arrived = |p: &Party| {
             !stopped && p.abandonment == Some(Abandonment::Cancel) || p.has_arrived(program, &table)
         };
-        parties.iter().all(seen).then_some(())
+        parties.iter().all(has_arrived).then_some(())
     });
 }
 
@@ -612,7 +612,7 @@
     let (mut last, mut stuck) = (first, 0);
     while stuck < 4 {
         last += 1;
-        // Shows that the connections are alive: otherwise the program would open another one.
+        // A progress message shows that a connection is alive: otherwise the program would open another one beside it.
         (0..2).for_each(|link| hub.say(link, PROGRESS, 0, &[]));
         filler.send("INVITE", last, &more, &body);
         wait_for_log(program, "sent", last, 1);
--- a/tests/release_before_answer.rs
+++ b/tests/release_before_answer.rs
@@ -14,7 +14,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Time after the hub's release within which the caller must be told.
+/// Time after the hub's release within which the caller must receive its final response.
 const MAX_RELEASE_DELAY: Duration = Duration::from_secs(1);
 /// Delays of the answer after the release.
 const ANSWER_DELAYS: [Duration; 3] =
@@ -63,7 +63,11 @@
     let released = Instant::now();
     hub.say(set_up.link, kind::RELEASE, call, &[(code::CAUSE, &[cause])]);
     let (status, away, _) = caller.answer(call).expect("a final answer");
-    assert!(released.elapsed() < MAX_RELEASE_DELAY, "cause {cause}: told after {:?}", released.elapsed());
+    assert!(
+        released.elapsed() < MAX_RELEASE_DELAY,
+        "cause {cause}: final response after {:?}",
+        released.elapsed()
+    );
     assert_eq!((status, away), (500, None), "cause {cause}: the call may have run, so it is not refused");
     ReleasedCall { call, cause, set_up, answer_at: released + answer_delay, caller }
 }
@@ -137,7 +141,7 @@
     let released = Instant::now();
     hub.say(1 - set_up.link, kind::RELEASE, 0x20, &[(code::CAUSE, &[16])]);
     assert_eq!(status(&mut caller, 0x20), 500);
-    assert!(released.elapsed() < MAX_RELEASE_DELAY, "told after {:?}", released.elapsed());
+    assert!(released.elapsed() < MAX_RELEASE_DELAY, "final response after {:?}", released.elapsed());
     // The set-up on the first connection may be a later attempt, so the program gives it up.
     let give_up = hub.release(0x20);
     assert_eq!((give_up.link, give_up.cause), (set_up.link, Some(16)));
--- a/tests/shutdown_and_teardown.rs
+++ b/tests/shutdown_and_teardown.rs
@@ -166,13 +166,13 @@
     let new = Program::launch(old.address, &[hub.target(0)], None, None, 1024, |text| text);
     let mut second = Caller::connect(new.address);
     second.invite(0xc2, 15_000, 0);
-    let own = hub.set_up(0xc2, 1);
-    assert!(own.link > open.link, "on a new connection");
+    let new_set_up = hub.set_up(0xc2, 1);
+    assert!(new_set_up.link > open.link, "on a new connection");
     // The new process receives the answer and the release of the old one's calls: it ignores an answer that no caller
     // waits for, and passes on the release of the answered call.
-    hub.say(own.link, kind::ANSWER, 0xc1, &[(code::DESCRIPTION, HUB_BODY)]);
-    hub.say(own.link, kind::RELEASE, 0xc0, &[(code::CAUSE, &[16])]);
-    hub.answer(&own);
+    hub.say(new_set_up.link, kind::ANSWER, 0xc1, &[(code::DESCRIPTION, HUB_BODY)]);
+    hub.say(new_set_up.link, kind::RELEASE, 0xc0, &[(code::CAUSE, &[16])]);
+    hub.answer(&new_set_up);
     assert_eq!(status(&mut second, 0xc2), 200);
     second.wait_for("the BYE of the old call", |s| *s == Said::Bye(0xc0, 16));
     assert!(!second.said.iter().any(|s| matches!(s, Said::Answer(0xc1, ..))), "{:?}", second.said);
@@ -195,9 +195,9 @@
     (&stream).write_all(unreadable.as_bytes()).expect("written");
     (&stream).write_all(&behind).expect("written");
     program.go_on();
-    let (clean, said) = end_of(stream);
-    let said = String::from_utf8_lossy(&said).into_owned();
-    assert!(said.starts_with("SIP/2.0 400 ") && said.matches("SIP/2.0 ").count() == 1, "{said}");
+    let (clean, received) = end_of(stream);
+    let received = String::from_utf8_lossy(&received).into_owned();
+    assert!(received.starts_with("SIP/2.0 400 ") && received.matches("SIP/2.0 ").count() == 1, "{received}");
     assert!(clean, "a reset could have destroyed the response");
 }
 
@@ -210,9 +210,12 @@
     (&stream).write_all(&invitation(0xd8, 15_000, 0)).expect("written");
     hub.set_up(0xd8, 1);
     (&stream).write_all(b"\x16\x03\x01 nonsense\r\n\r\n").expect("written");
-    let (clean, said) = end_of(stream);
-    let said = String::from_utf8_lossy(&said).into_owned();
-    assert!(clean && said.starts_with("SIP/2.0 500 ") && said.contains("00000000000000d8"), "{said}");
+    let (clean, received) = end_of(stream);
+    let received = String::from_utf8_lossy(&received).into_owned();
+    assert!(
+        clean && received.starts_with("SIP/2.0 500 ") && received.contains("00000000000000d8"),
+        "{received}"
+    );
     assert_eq!(hub.release(0xd8).cause, Some(16), "the set-up is given up at the hub");
 }
 
@@ -290,22 +293,22 @@
     let _no_flood = exclude_flood();
     let mut hub = ScriptedHub::new();
     let program = Program::start(&[hub.target(0)], None, None);
-    let mut stays = Caller::connect(program.address);
+    let mut waits = Caller::connect(program.address);
     let mut cancels = Caller::connect(program.address);
     program.pause();
-    let mut leaves = Caller::connect(program.address);
-    leaves.invite(0x10, 15_000, 0);
-    drop(leaves);
+    let mut disconnects = Caller::connect(program.address);
+    disconnects.invite(0x10, 15_000, 0);
+    drop(disconnects);
     cancels.invite(0x11, 15_000, 0);
     cancels.send("CANCEL", 0x11, "", b"");
-    stays.invite(0x12, 15_000, 0);
+    waits.invite(0x12, 15_000, 0);
     program.go_on();
     assert_eq!(status(&mut cancels, 0x11), 487);
     let last = hub.set_up(0x12, 1);
     hub.answer(&last);
-    assert_eq!(status(&mut stays, 0x12), 200);
+    assert_eq!(status(&mut waits, 0x12), 200);
     // Requests are handled in the order in which they are read, so this call follows all others.
-    stays.invite(0x13, 15_000, 0);
+    waits.invite(0x13, 15_000, 0);
     hub.set_up(0x13, 1);
     assert_eq!((hub.set_ups(0x10), hub.set_ups(0x11)), (0, 0), "{:?}", hub.sent);
 }
@@ -316,20 +319,20 @@
     let mut hub = ScriptedHub::new();
     let with_long_pause = |text: String| text.replace("\"release\":200000", "\"release\":3000000");
     let program = Program::changed(&[hub.target(0)], None, with_long_pause);
-    let [mut closes, mut cancels, mut stays] = [(); 3].map(|()| Caller::connect(program.address));
+    let [mut disconnects, mut cancels, mut waits] = [(); 3].map(|()| Caller::connect(program.address));
     let mut set_ups = Vec::new();
-    for (caller, call) in [(&mut closes, 0x20), (&mut cancels, 0x21), (&mut stays, 0x22)] {
+    for (caller, call) in [(&mut disconnects, 0x20), (&mut cancels, 0x21), (&mut waits, 0x22)] {
         caller.invite(call, 15_000, 0);
         set_ups.push(hub.set_up(call, 1));
     }
     set_ups.iter().for_each(|set_up| hub.break_connection(set_up.link));
     cancels.send("CANCEL", 0x21, "", b"");
     assert_eq!(status(&mut cancels, 0x21), 487, "cancelled in the pause");
-    drop(closes);
+    drop(disconnects);
     // The pause of this call began last: when its next attempt is made, the pauses of the others would be over too.
     let again = hub.set_up(0x22, 2);
     hub.answer(&again);
-    assert_eq!(status(&mut stays, 0x22), 200);
+    assert_eq!(status(&mut waits, 0x22), 200);
     assert_eq!((hub.set_ups(0x20), hub.set_ups(0x21)), (1, 1));
 }
 
@@ -342,22 +345,22 @@
     let with_long_dial_timeout =
         |text: String| text.replace("\"dialTimeout\":500000", "\"dialTimeout\":15000000");
     let program = Program::changed(&[hub.target(0)], None, with_long_dial_timeout);
-    let [mut closes, mut cancels, mut stays] = [(); 3].map(|()| Caller::connect(program.address));
-    for (caller, call) in [(&mut closes, 0x30), (&mut cancels, 0x31), (&mut stays, 0x32)] {
+    let [mut disconnects, mut cancels, mut waits] = [(); 3].map(|()| Caller::connect(program.address));
+    for (caller, call) in [(&mut disconnects, 0x30), (&mut cancels, 0x31), (&mut waits, 0x32)] {
         caller.invite(call, 15_000, 0);
     }
     cancels.send("CANCEL", 0x31, "", b"");
     assert_eq!(status(&mut cancels, 0x31), 487);
-    drop(closes);
+    drop(disconnects);
     // This request is read after the close of the other connection.
-    stays.send("OPTIONS", 0x39, "", b"");
-    stays.wait_for("the response to the later request", |s| matches!(s, Said::Other(0x39, _, 200)));
+    waits.send("OPTIONS", 0x39, "", b"");
+    waits.wait_for("the response to the later request", |s| matches!(s, Said::Other(0x39, _, 200)));
     hub.take_in();
     drop(filling);
     let late = hub.set_up(0x32, 1);
     assert_eq!((hub.set_ups(0x30), hub.set_ups(0x31)), (0, 0), "{:?}", hub.sent);
     hub.answer(&late);
-    assert_eq!(status(&mut stays, 0x32), 200);
+    assert_eq!(status(&mut waits, 0x32), 200);
 }
 
 #[test]
@@ -366,41 +369,41 @@
     let mut hub = ScriptedHub::narrow();
     let debug = Some(r#"{"log":{"level":"debug"}}"#);
     let program = Program::launch(any_address(), &[hub.target(0)], None, debug, 1024, unhurried);
-    let mut stays = Caller::connect(program.address);
-    let said = |what: &str, call: u64| program.logged(&format!("{what} call={call:016x}"));
+    let mut waits = Caller::connect(program.address);
+    let logged = |what: &str, call: u64| program.logged(&format!("{what} call={call:016x}"));
     // Fills both connections call by call, until several calls in a row are assigned and no byte of them is written.
     let body = vec![b'v'; 15 * 1024];
     let (mut last, mut stuck) = (0x1000, 0);
     while stuck < 4 {
         last += 1;
         let more = "Call-Kind: voice\r\nAnswer-Within: 90000\r\nRouting-Data: dest:0;width:1;via:-1\r\n";
-        stays.send("INVITE", last, more, &body);
-        until("the call is assigned to the hub", || said("sent", last).then_some(()));
-        let asked = Instant::now();
-        while !said("begun", last) && asked.elapsed() < Duration::from_millis(200) {
+        waits.send("INVITE", last, more, &body);
+        until("the call is assigned to the hub", || logged("sent", last).then_some(()));
+        let sent_at = Instant::now();
+        while !logged("begun", last) && sent_at.elapsed() < Duration::from_millis(200) {
             sleep(MILLISECOND);
         }
-        stuck = if said("begun", last) { 0 } else { stuck + 1 };
+        stuck = if logged("begun", last) { 0 } else { stuck + 1 };
         assert!(last < 0x1800, "the socket buffers never fill up");
     }
     // Two more calls wait behind these and are abandoned. The hub has read nothing, so no byte of them is written.
     let mut cancels = Caller::connect(program.address);
-    let mut closes = Caller::connect(program.address);
-    for (caller, call) in [(&mut cancels, 0x2000), (&mut closes, 0x2001)] {
+    let mut disconnects = Caller::connect(program.address);
+    for (caller, call) in [(&mut cancels, 0x2000), (&mut disconnects, 0x2001)] {
         caller.invite(call, 15_000, 0);
-        until("the call is assigned to the hub", || said("sent", call).then_some(()));
+        until("the call is assigned to the hub", || logged("sent", call).then_some(()));
     }
     cancels.send("CANCEL", 0x2000, "", b"");
     assert_eq!(status(&mut cancels, 0x2000), 487);
-    drop(closes);
-    until("the disconnect is detected", || said("giving up", 0x2001).then_some(()));
-    assert!(!said("begun", 0x2000) && !said("begun", 0x2001), "the two wait behind the others");
+    drop(disconnects);
+    until("the disconnect is detected", || logged("giving up", 0x2001).then_some(()));
+    assert!(!logged("begun", 0x2000) && !logged("begun", 0x2001), "the two wait behind the others");
     // The hub reads. After the other set-ups each connection carries their give-ups, once their caller disconnects as
     // well; set-ups of the two calls would come before these.
     for call in 0x1001..=last {
         hub.set_up(call, 1);
     }
-    drop(stays);
+    drop(waits);
     for call in 0x1001..=last {
         assert_eq!(hub.release(call).cause, Some(16));
     }
@@ -533,24 +536,24 @@
     let log = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = log.local_addr().expect("an address");
     let drain = site::target("s-0", &hub.address.to_string(), 0, "terminating");
-    let watch = std::thread::spawn(move || {
+    let change_log = std::thread::spawn(move || {
         let (mut first, since) = accept_poll(&log);
         assert_eq!(since, 1);
         first.write_all(change_log_response(1, &[]).as_bytes()).expect("written");
         drop(first);
         // One poll gets no response and one only part of the drain event; both connections stay open.
-        let (silent, _) = accept_poll(&log);
-        let (mut half, since) = accept_poll(&log);
+        let (unanswered, _) = accept_poll(&log);
+        let (mut partial, since) = accept_poll(&log);
         assert_eq!(since, 1);
         let response = change_log_response(2, &[drain]);
-        half.write_all(&response.as_bytes()[..response.len() - 20]).expect("written");
-        let (mut whole, since) = accept_poll(&log);
+        partial.write_all(&response.as_bytes()[..response.len() - 20]).expect("written");
+        let (mut complete, since) = accept_poll(&log);
         assert_eq!(since, 1, "a partial response changes nothing");
-        whole.write_all(response.as_bytes()).expect("written");
-        drop(whole);
+        complete.write_all(response.as_bytes()).expect("written");
+        drop(complete);
         let (next, since) = accept_poll(&log);
         assert_eq!(since, 2, "the event is applied");
-        drop((silent, half, next));
+        drop((unanswered, partial, next));
     });
     let program = Program::start(&[hub.target(0), other.target(1)], Some(address), None);
     let mut caller = Caller::connect(program.address);
@@ -558,7 +561,7 @@
     let before = hub.set_up(0x70, 1);
     hub.answer(&before);
     assert_eq!(status(&mut caller, 0x70), 200);
-    watch.join().expect("the polls are as expected");
+    change_log.join().expect("the polls are as expected");
     // The drain may have been announced more than 2 s ago, in the lost responses, so no grace period is left.
     for call in 0x71..0x75 {
         caller.invite(call, 15_000, 0);
@@ -580,17 +583,17 @@
     let [from, to] = [&old, &new].map(|l| l.local_addr().expect("an address").to_string());
     let old_address = old.local_addr().expect("an address");
     // Each poll gets a response without events, until one has to hang.
-    let (hangs, hang) = std::sync::mpsc::channel::<()>();
-    let watch = std::thread::spawn(move || loop {
+    let (hang_sender, hang_receiver) = std::sync::mpsc::channel::<()>();
+    let change_log = std::thread::spawn(move || loop {
         let (mut stream, _) = accept_poll(&old);
-        if hang.try_recv().is_ok() {
+        if hang_receiver.try_recv().is_ok() {
             return stream;
         }
         stream.write_all(change_log_response(1, &[]).as_bytes()).expect("written");
     });
     let program = Program::start(&[hub.target(0)], Some(old_address), None);
-    hangs.send(()).expect("the log is polled");
-    let mut hung = watch.join().expect("polled once more");
+    hang_sender.send(()).expect("the log is polled");
+    let mut hung = change_log.join().expect("polled once more");
     program.reload(|text| text.replace(&from, &to), &format!("reloaded: change log now at {to}"));
     // Kept open, since its end would be a failed poll.
     let (_polled, since) = accept_poll(&new);
@@ -617,9 +620,9 @@
     let hub = Hub::start(0, Manner::Answer, &record);
     let target = site::target("s-0", &hub.address.to_string(), 0, "in_service");
     let program = Program::changed(&[target], None, unhurried);
-    let mut good = Caller::connect(program.address);
-    good.invite(0x50, 15_000, 0);
-    assert_eq!(status(&mut good, 0x50), 200);
+    let mut valid = Caller::connect(program.address);
+    valid.invite(0x50, 15_000, 0);
+    assert_eq!(status(&mut valid, 0x50), 200);
     let before = resident_kb(&program);
     let address = program.address;
     let flood = |request: fn(u64) -> Vec<u8>| {
@@ -634,10 +637,10 @@
                 }
                 let _ = writing.shutdown(std::net::Shutdown::Write);
             });
-            let (_, said) = end_of(stream);
+            let (_, received) = end_of(stream);
             writer.join().expect("written");
-            let said = String::from_utf8_lossy(&said).into_owned();
-            (said.matches("SIP/2.0 200").count(), said.matches("\r\nCSeq").count())
+            let received = String::from_utf8_lossy(&received).into_owned();
+            (received.matches("SIP/2.0 200").count(), received.matches("\r\nCSeq").count())
         })
     };
     let unknown_class: fn(u64) -> Vec<u8> = |n| request("INVITE", 0x1_0000 + n, "Call-Kind: odd\r\n", b"");
@@ -650,8 +653,8 @@
     let mut slowest = Duration::ZERO;
     for call in 0x51..0x81 {
         let sent = Instant::now();
-        good.invite(call, 15_000, 0);
-        assert_eq!(status(&mut good, call), 200);
+        valid.invite(call, 15_000, 0);
+        assert_eq!(status(&mut valid, call), 200);
         slowest = slowest.max(sent.elapsed());
         sleep(2 * MILLISECOND);
     }
