--- a/src/net/sip_server/connection.rs
+++ b/src/net/sip_server/connection.rs
@@ -317,8 +317,8 @@
     /// Reads the socket and sends the parsed inputs to the core. On a starved process a timeout and data that came long
     /// before it are seen at the same moment, and closing the connection as idle would lose a set-up in the socket.
     ///
-    /// A caller may have disconnected before its requests are read, and then no attempt may be made for them. Its FIN
-    /// or its CANCEL may be behind them in the socket, so inputs stay pending until the socket is drained, within limits.
+    /// A caller may have disconnected before its requests are read, and then no attempt may be made for them. Its FIN or
+    /// its CANCEL may be behind them in the socket, so inputs stay pending, within limits, until the socket is drained.
     async fn read(&mut self, stream: &TcpStream) -> ReadOutcome {
         let mut inputs = self.pending.take();
         let (outcome, is_drained) = self.read_socket(stream, &mut inputs);
--- a/src/net/sip_server/registry.rs
+++ b/src/net/sip_server/registry.rs
@@ -13,7 +13,7 @@
 const MAX_QUEUED_COMMANDS: usize = 2 * MAX_OPEN_SET_UPS;
 /// Maximum number of releases queued while no connection can take them.
 const MAX_QUEUED_RELEASES: usize = 8192;
-/// How long a release stays queued for the next connection.
+/// Age at which a queued release is dropped, once another one is queued.
 const QUEUED_RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A command to a connection's task.
--- a/tests/abandoned_calls.rs
+++ b/tests/abandoned_calls.rs
@@ -1,8 +1,8 @@
-//! Tests that no attempt begins for a call after its caller abandoned it, wherever the call waits at that time. Each test
-//! leaves the disconnect or CANCEL in the program's sockets for longer than the program may take to detect it before an
-//! attempt could begin: the program is stopped (SIGSTOP), the hub's accept queue is full, the hub reads nothing, or
-//! the pause before the further attempt is not over. A set-up that begins after that is a failure; no test measures
-//! how long anything takes.
+//! Tests that no attempt begins for a call after its caller abandoned it, wherever the call waits at that time. Each
+//! test leaves the disconnect or CANCEL in the program's sockets for longer than the program may take to detect it
+//! before an attempt could begin: the program is stopped (SIGSTOP), the hub's accept queue is full, the hub reads
+//! nothing, or the pause before the further attempt is not over. A set-up that begins after that is a failure; no test
+//! measures how long anything takes.
 
 #[path = "common/peers.rs"]
 mod peers;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns whether the abandonment has arrived in the socket of the program, which is stopped, by the kernel's table.
+    /// Returns whether the abandonment has arrived in the socket of the stopped program, by the kernel's table.
     fn has_arrived(&self, program: &Program, table: &str) -> bool {
         let end = socket_state(table, program.address, self.address);
         match self.abandonment {
@@ -533,9 +533,9 @@
     });
 }
 
-/// Abandons calls while the hub is dialled. If `further`, their first attempts were lost with the hub's connections. With
-/// an order in `stopped`, the program is stopped until the abandonments and the success of the dial are in its sockets,
-/// in that order.
+/// Abandons calls while the hub is dialled. If `further`, their first attempts were lost with the hub's connections.
+/// With an order in `stopped`, the program is stopped until the abandonments and the success of the dial are in its
+/// sockets, in that order.
 fn abandon_during_dial(further: bool, stopped: Option<EventOrder>) {
     let mut hubs = [ScriptedHub::with_short_queue()];
     let mut filling = if further { Vec::new() } else { hubs[0].fill_queue() };
