--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -5,7 +5,7 @@
 //! The sizes take turns in one run; the ratios to the smallest count, not the times.
 
 use petreldock::config::{self, At, Config};
-use petreldock::core::{Core, Hub, Input, News, Status};
+use petreldock::core::{Core, Hub, HubListUpdate, Input, Status};
 use petreldock::interface::*;
 use petreldock::Controller;
 use std::time::Instant;
@@ -92,12 +92,12 @@
             born: None,
         })
         .collect();
-    let news = || News { all: true, hubs: whole.clone(), told: Micros(START), seq: 0 };
-    core.handle(Micros(START), Input::List(news()));
-    let lists: Vec<News> = (0..20).map(|_| news()).collect();
+    let news = || HubListUpdate { full: true, hubs: whole.clone(), effective_since: Micros(START), seq: 0 };
+    core.handle(Micros(START), Input::HubList(news()));
+    let lists: Vec<HubListUpdate> = (0..20).map(|_| news()).collect();
     let start = Instant::now();
     for list in lists {
-        core.handle(Micros(START + 1), Input::List(list));
+        core.handle(Micros(START + 1), Input::HubList(list));
     }
     start.elapsed().as_nanos() as f64 / 20.0
 }
--- a/benches/state.rs
+++ b/benches/state.rs
@@ -7,11 +7,11 @@
 use hdrhistogram::Histogram;
 use petreldock::config::{self, At, Config};
 use petreldock::core::{
-    CallName, Cause, Core, Description, FromHub, FrontId, Hub, Input, LinkId, Note, Offer,
+    CallName, Cause, Core, Description, FromHub, FrontId, Hub, Input, LinkId, Offer, RefusalNote,
 };
-use petreldock::core::{News, Origin, Status, ToHub};
+use petreldock::core::{HubListUpdate, Origin, Status, ToHub};
 use petreldock::interface::{Micros, Phase, Report};
-use petreldock::learning::{self, Picture};
+use petreldock::learning::{self, LearnedState};
 use petreldock::state;
 use petreldock::store::Folder;
 use std::sync::{Arc, Mutex};
@@ -35,7 +35,7 @@
 }
 
 /// Runs a core for so many ticks; gives how long it was held up by each input or tick, in nanoseconds.
-fn held_up(hubs: usize, ticks: u64, keep: bool) -> (Histogram<u64>, Option<Arc<Picture>>) {
+fn held_up(hubs: usize, ticks: u64, keep: bool) -> (Histogram<u64>, Option<Arc<LearnedState>>) {
     let links: Links = Arc::default();
     let opened = links.clone();
     let connect = Box::new(move |link, _: &str| {
@@ -48,7 +48,7 @@
     let mut core = Core::new(&config(), vec![front], connect, status, Micros(START)).expect("sane");
     let (pictures, latest) = watch::channel(None);
     if keep {
-        core.keep(pictures, Micros(2 * SECOND), Micros(START));
+        core.export_state(pictures, Micros(2 * SECOND), Micros(START));
     }
     let list = (0..hubs).map(|n| Hub {
         uid: format!("s-{n:08x}"),
@@ -59,7 +59,12 @@
     });
     core.handle(
         Micros(START),
-        Input::List(News { all: true, hubs: list.collect(), told: Micros(START), seq: 0 }),
+        Input::HubList(HubListUpdate {
+            full: true,
+            hubs: list.collect(),
+            effective_since: Micros(START),
+            seq: 0,
+        }),
     );
     let mut times = Histogram::<u64>::new_with_max(10_000_000_000, 3).expect("three digits");
     let mut standing = std::collections::VecDeque::new();
@@ -91,7 +96,7 @@
         for (link, commands) in links.lock().expect("lock").iter_mut() {
             while let Ok(command) = commands.try_recv() {
                 if let ToHub::SetUp(set_up) = command {
-                    news.push(Input::Hub(*link, FromHub::Stands(set_up.call, Description::default())));
+                    news.push(Input::Hub(*link, FromHub::Answered(set_up.call, Description::default())));
                     standing.push_back((*link, set_up.call));
                 }
             }
@@ -104,7 +109,10 @@
                     can_take: Some(50.0),
                     ..Report::default()
                 };
-                news.push(Input::Hub(link, FromHub::Released(call, Cause::NORMAL, Note::None, report)));
+                news.push(Input::Hub(
+                    link,
+                    FromHub::Released(call, Cause::NORMAL, RefusalNote::None, report),
+                ));
             }
         }
         news.into_iter().for_each(|input| timed(&mut core, Some(input)));
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -4,7 +4,7 @@
 use crate::fleet::show::{self, Shown as ShownFleet};
 use crate::fleet::wire::{self, Identity, Kind, DATAGRAM_MOST};
 use crate::interface::Micros;
-use crate::learning::{Kept, Picture};
+use crate::learning::{LearnedHub, LearnedState};
 use crate::state::{self, Examined};
 use crate::store::LOCK;
 use clap::{Parser, Subcommand};
@@ -118,7 +118,7 @@
             let lives = &state.ageing;
             line("state.folder", state.folder.display().to_string());
             line("state.intervalMs", (state.interval.0 / 1000).to_string());
-            line("state.greatestAgeMs", (lives.greatest.0 / 1000).to_string());
+            line("state.greatestAgeMs", (lives.max_age.0 / 1000).to_string());
             for (kind, life) in [
                 ("wait", lives.wait),
                 ("load", lives.load),
@@ -236,7 +236,7 @@
     hubs: Vec<ShownHub>,
 }
 
-fn shown(kept: &Kept) -> ShownHub {
+fn shown(kept: &LearnedHub) -> ShownHub {
     let (hub, b) = (&kept.hub, &kept.belief);
     ShownHub {
         uid: hub.uid.to_string(),
@@ -286,7 +286,7 @@
     }
 }
 
-fn show(file: String, picture: &Picture, now: Micros, as_json: bool) -> String {
+fn show(file: String, picture: &LearnedState, now: Micros, as_json: bool) -> String {
     let age_s = (now.0 as f64 - picture.at.0 as f64) / 1e6;
     let hubs: Vec<ShownHub> = picture.hubs.iter().map(shown).collect();
     let shown = Shown { file, at_ms: picture.at.0 / 1000, age_s, hold_s: picture.hold, hubs };
--- a/src/config.rs
+++ b/src/config.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::wire::{LABEL_MOST, NAME_MOST};
 use crate::interface::*;
-use crate::learning::Ageing;
+use crate::learning::DecaySettings;
 use ipnet::IpNet;
 use miniserde::json::{self, Number, Value};
 use std::collections::BTreeMap;
@@ -314,7 +314,7 @@
     /// How often what was learnt is written.
     pub interval: Micros,
     /// How fast it loses its worth.
-    pub ageing: Ageing,
+    pub ageing: DecaySettings,
 }
 
 /// How much is logged.
@@ -528,18 +528,18 @@
 impl State {
     fn read(at: &At) -> Read<State> {
         let folder = at.key("folder").text().ok().filter(|f| !f.is_empty());
-        let (lives, other) = (at.key("halfLivesMs"), Ageing::default());
+        let (lives, other) = (at.key("halfLivesMs"), DecaySettings::default());
         let life = |key: &str, other| span(lives.key(key), other, (1, AGE_MOST_MS));
         Ok(State {
             folder: folder.ok_or_else(|| at.key("folder").expected("a folder's path"))?.into(),
             interval: span(at.key("intervalMs"), STATE_EVERY, (100, 600_000))?,
-            ageing: Ageing {
+            ageing: DecaySettings {
                 wait: life("wait", other.wait)?,
                 load: life("load", other.load)?,
                 rate: life("rate", other.rate)?,
                 signs: life("signs", other.signs)?,
                 capacity: life("capacity", other.capacity)?,
-                greatest: span(at.key("greatestAgeMs"), other.greatest, (1, AGE_MOST_MS))?,
+                max_age: span(at.key("greatestAgeMs"), other.max_age, (1, AGE_MOST_MS))?,
             },
         })
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -4,45 +4,45 @@
 //! answers through queues. The module decides; the core keeps the books and guards the rules
 //! against bugs elsewhere: one final answer a call, one attempt at a time, the release pause, drains.
 
-pub mod ends;
+pub mod outcome;
+pub mod timer_wheel;
 mod types;
-pub mod wheel;
 
 pub use types::*;
 
 use crate::config::{Config, Limits, Names};
 use crate::interface::*;
-use crate::learning::{Identity, Kept, Memory, Painter, Picture};
+use crate::learning::{Identity, LearnedHub, LearnedState, RestoredState, StateCollector};
 use crate::metrics;
 use crate::Controller;
-use ends::Seen;
+use outcome::AttemptEnd;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
+use timer_wheel::{TimerWheel, TICK_LENGTH};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Duration, Instant, MissedTickBehavior};
-use wheel::{Wheel, TICK};
 
 /// How many inputs may wait before socket code has to.
-pub const QUEUE: usize = 4096;
+pub const INPUT_QUEUE_CAPACITY: usize = 4096;
 /// ... and how many of them are taken in between two looks at the clock's ticks.
-const TURN: usize = 64;
+const INPUTS_PER_TICK_CHECK: usize = 64;
 /// How many answers may wait for a front.
-pub const ANSWERS: usize = 65_536;
+pub const FRONT_QUEUE_CAPACITY: usize = 65_536;
 /// Ended calls stay known this long, so that late messages about them are not taken for news.
-const ENDED_KEPT: Micros = Micros(30_000_000);
+const ENDED_CALL_RETENTION: Micros = Micros(30_000_000);
 /// ... but no more than so many.
-const ENDED_MOST: usize = 32_768;
+const MAX_ENDED_CALLS: usize = 32_768;
 /// The front passes its test this long after the start, though not all hubs have told their state.
-const READY_AFTER: Micros = Micros(1_000_000);
+const READY_TIMEOUT: Micros = Micros(1_000_000);
 /// Hubs in service and gone at most; what a list names beyond them is left out.
-const HUBS_MOST: usize = 4096;
+const MAX_HUBS: usize = 4096;
 /// Hubs that are gone stay known up to so many, so that one that comes back keeps its id.
-const GONE_MOST: usize = 1024;
+const MAX_GONE_HUBS: usize = 1024;
 /// A caller is taken to wait no longer than this, or than the longest deadline of the settings. Danger: the
 /// timers of a set-up stay till then, also once it is over.
-const WAIT_MOST: Micros = Micros(60_000_000);
+const MAX_CALLER_WAIT: Micros = Micros(60_000_000);
 /// So many hubs' beliefs are gathered at one tick: no call waits for all of them.
-const PAINTED_EACH: usize = 128;
+const HUBS_COLLECTED_PER_TICK: usize = 128;
 
 /// The Unix clock: read once, and moved on by the monotonic one, which tests can pause.
 #[derive(Clone, Copy, Debug)]
@@ -70,7 +70,7 @@
 }
 
 /// Opens the link to a hub at an endpoint.
-pub type Connect = Box<dyn FnMut(LinkId, &str) -> mpsc::Sender<ToHub> + Send>;
+pub type ConnectHub = Box<dyn FnMut(LinkId, &str) -> mpsc::Sender<ToHub> + Send>;
 
 struct HubState {
     id: ServerId,
@@ -80,14 +80,14 @@
     born: Option<Micros>,
     phase: Phase,
     /// When it was told to drain or to be gone.
-    told: Option<Micros>,
+    leaving_since: Option<Micros>,
     link: Option<(LinkId, mpsc::Sender<ToHub>)>,
-    heard: bool,
-    fixed: bool,
+    reported: bool,
+    configured: bool,
     /// No list has been passed on since it was first named.
-    fresh: bool,
+    newly_listed: bool,
     /// Which list named it last.
-    named: u64,
+    last_listed: u64,
 }
 
 impl HubState {
@@ -97,8 +97,8 @@
     }
 
     /// Gone, with no link left that could speak for it.
-    fn forgettable(&self) -> bool {
-        self.phase == Phase::Gone && self.link.is_none() && !self.fixed
+    fn is_removable(&self) -> bool {
+        self.phase == Phase::Gone && self.link.is_none() && !self.configured
     }
 }
 
@@ -107,14 +107,14 @@
     link: LinkId,
     server: ServerId,
     /// Its number within the call, as the module counts.
-    copy: u32,
+    index: u32,
     /// Its own number.
     number: u64,
-    sent: Micros,
+    sent_at: Micros,
     /// When it times out.
-    until: Micros,
+    times_out_at: Micros,
     /// Set once it is being given up: how it will have ended.
-    ending: Option<Outcome>,
+    give_up_reason: Option<Outcome>,
 }
 
 struct Call {
@@ -130,9 +130,9 @@
     deadline: Micros,
     /// The final answer is given, or none is owed any more.
     answered: bool,
-    standing: bool,
-    out: Option<Attempt>,
-    sent: u32,
+    established: bool,
+    attempt: Option<Attempt>,
+    attempts_sent: u32,
     /// An attempt of it ended without proof that it never ran.
     may_have_run: bool,
     not_before: Micros,
@@ -140,34 +140,34 @@
 
 impl Call {
     /// Whether to have it run again, or to tell its caller that nothing ran, may do harm.
-    fn once(&self) -> bool {
+    fn must_not_repeat(&self) -> bool {
         self.effect != Effect::Free && self.may_have_run
     }
 }
 
-enum Due {
+enum TimerEvent {
     Module(u64),
     Attempt(CallId, u64),
     Deadline(CallId),
-    Stop,
+    Shutdown,
 }
 
 /// Where pictures of what is believed go; the latest wins.
-pub type Pictures = watch::Sender<Option<Arc<Picture>>>;
+pub type LearnedStateSender = watch::Sender<Option<Arc<LearnedState>>>;
 
 /// Hands out what is believed, every so often.
-struct Keeping {
-    pictures: Pictures,
-    every: Micros,
-    next: Micros,
-    painter: Option<Painter>,
+struct StateExport {
+    sender: LearnedStateSender,
+    interval: Micros,
+    next_at: Micros,
+    collector: Option<StateCollector>,
 }
 
 /// How the core is, for its fronts and for the end of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Status {
     /// The hubs have told their state, or have had their time to.
-    pub settled: bool,
+    pub ready: bool,
     /// The program is to end.
     pub stopping: bool,
     /// Calls whose final answer is owed.
@@ -176,7 +176,7 @@
 
 /// What the core has to do, for those who tell others of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct LoadFigures {
     /// Set-ups that callers brought, since the start.
     pub offered: u64,
     /// Set-ups out at hubs, and calls that stand there.
@@ -196,46 +196,46 @@
     limits: Limits,
     max_attempts: u32,
     fronts: Vec<mpsc::Sender<ToFront>>,
-    connect: Connect,
+    connect: ConnectHub,
     status: watch::Sender<Status>,
     stopping: bool,
     /// The end is so near that no hub's answer would come in time.
-    refuses_new: bool,
+    refuse_new_calls: bool,
     started: Micros,
-    wheel: Wheel<Due>,
+    timers: TimerWheel<TimerEvent>,
     calls: BTreeMap<CallId, Call>,
-    by_name: HashMap<CallName, CallId>,
+    call_by_name: HashMap<CallName, CallId>,
     /// Calls whose final answer is owed.
     unanswered: usize,
     /// Bytes of the descriptions that the calls hold.
     description_bytes: usize,
-    ended: HashMap<CallName, Micros>,
-    ended_by_age: VecDeque<(CallName, Micros)>,
+    ended_calls: HashMap<CallName, Micros>,
+    ended_calls_by_age: VecDeque<(CallName, Micros)>,
     hubs: Vec<HubState>,
-    by_uid: HashMap<Arc<str>, usize>,
-    by_id: BTreeMap<ServerId, usize>,
+    hub_by_uid: HashMap<Arc<str>, usize>,
+    hub_by_id: BTreeMap<ServerId, usize>,
     /// Hubs that may be forgotten, with since when they were told to go.
-    gone: BTreeSet<(Micros, usize)>,
-    links: BTreeMap<LinkId, usize>,
+    removable_hubs: BTreeSet<(Micros, usize)>,
+    hub_by_link: BTreeMap<LinkId, usize>,
     /// Which hub's link leads to an address.
-    linked: HashMap<Arc<str>, usize>,
+    hub_by_endpoint: HashMap<Arc<str>, usize>,
     /// Links told to close, with set-ups that are not settled yet.
-    closing: BTreeSet<LinkId>,
+    closing_links: BTreeSet<LinkId>,
     /// Which calls have an attempt at which link.
-    at: BTreeSet<(LinkId, CallId)>,
+    calls_by_link: BTreeSet<(LinkId, CallId)>,
     last_call: u64,
     last_attempt: u64,
     last_link: u64,
     last_hub: u64,
-    lists: u64,
-    listed: bool,
+    update_count: u64,
+    full_list_received: bool,
     /// The change log, where there is one, was heard since the start.
-    current: bool,
-    memory: Option<Memory>,
-    keeping: Option<Keeping>,
+    change_log_current: bool,
+    restored: Option<RestoredState>,
+    export: Option<StateExport>,
     offered: u64,
     seq: u64,
-    figures: Option<watch::Sender<Figures>>,
+    load_sender: Option<watch::Sender<LoadFigures>>,
 }
 
 impl Core {
@@ -243,7 +243,7 @@
     pub fn new(
         config: &Config,
         fronts: Vec<mpsc::Sender<ToFront>>,
-        connect: Connect,
+        connect: ConnectHub,
         status: watch::Sender<Status>,
         now: Micros,
     ) -> Result<Core, SettingsError> {
@@ -257,51 +257,51 @@
             connect,
             status,
             stopping: false,
-            refuses_new: false,
+            refuse_new_calls: false,
             started: now,
-            wheel: Wheel::new(now),
+            timers: TimerWheel::new(now),
             calls: BTreeMap::new(),
-            by_name: HashMap::new(),
+            call_by_name: HashMap::new(),
             unanswered: 0,
             description_bytes: 0,
-            ended: HashMap::new(),
-            ended_by_age: VecDeque::new(),
+            ended_calls: HashMap::new(),
+            ended_calls_by_age: VecDeque::new(),
             hubs: Vec::new(),
-            by_uid: HashMap::new(),
-            by_id: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            links: BTreeMap::new(),
-            linked: HashMap::new(),
-            closing: BTreeSet::new(),
-            at: BTreeSet::new(),
+            hub_by_uid: HashMap::new(),
+            hub_by_id: BTreeMap::new(),
+            removable_hubs: BTreeSet::new(),
+            hub_by_link: BTreeMap::new(),
+            hub_by_endpoint: HashMap::new(),
+            closing_links: BTreeSet::new(),
+            calls_by_link: BTreeSet::new(),
             last_call: 0,
             last_attempt: 0,
             last_link: 0,
             last_hub: 0,
-            lists: 0,
-            listed: false,
-            current: config.change_log.is_none(),
-            memory: None,
-            keeping: None,
+            update_count: 0,
+            full_list_received: false,
+            change_log_current: config.change_log.is_none(),
+            restored: None,
+            export: None,
             offered: 0,
             seq: 0,
-            figures: None,
+            load_sender: None,
         })
     }
 
     /// Takes up what an earlier start knew. It is for the hubs that the next lists name.
-    pub fn recollect(&mut self, memory: Memory) {
-        self.memory = Some(memory);
+    pub fn restore(&mut self, restored: RestoredState) {
+        self.restored = Some(restored);
     }
 
     /// Has what is believed handed out every so often, once a list has come.
-    pub fn keep(&mut self, pictures: Pictures, every: Micros, now: Micros) {
-        self.keeping = Some(Keeping { pictures, every, next: now + every, painter: None });
+    pub fn export_state(&mut self, sender: LearnedStateSender, interval: Micros, now: Micros) {
+        self.export = Some(StateExport { sender, interval, next_at: now + interval, collector: None });
     }
 
     /// Has it said at every tick what there is to do.
-    pub fn tell_figures(&mut self, figures: watch::Sender<Figures>) {
-        self.figures = Some(figures);
+    pub fn publish_load(&mut self, sender: watch::Sender<LoadFigures>) {
+        self.load_sender = Some(sender);
     }
 
     /// Calls in the table.
@@ -315,126 +315,126 @@
     }
 
     /// Adds hubs that no list names or takes away: those of the operator's file.
-    pub fn fix(&mut self, now: Micros, hubs: Vec<Hub>) {
+    pub fn add_configured_hubs(&mut self, now: Micros, hubs: Vec<Hub>) {
         for hub in &hubs {
-            if let Some(index) = self.hub(hub) {
-                self.hubs[index].fixed = true;
+            if let Some(index) = self.find_or_add_hub(hub) {
+                self.hubs[index].configured = true;
             }
         }
-        self.list(now, News { all: false, hubs, told: now, seq: 0 });
+        self.apply_hub_list(now, HubListUpdate { full: false, hubs, effective_since: now, seq: 0 });
     }
 
     /// Takes one input.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Offer(offer) => self.offer(now, offer),
+            Input::Offer(offer) => self.handle_offer(now, offer),
             Input::Withdrawn(front, origin, name) => {
                 // A lost connection withdraws its own set-ups alone.
-                let known = self.by_name.get(&name).and_then(|id| self.calls.get(id));
+                let known = self.call_by_name.get(&name).and_then(|id| self.calls.get(id));
                 if known.is_some_and(|c| c.origin == origin) {
-                    self.withdrawn(now, front, name);
+                    self.handle_withdrawal(now, front, name);
                 }
             }
-            Input::Stop(by) => {
+            Input::Shutdown(by) => {
                 self.stopping = true;
-                self.wheel.add(by, Due::Stop);
+                self.timers.add(by, TimerEvent::Shutdown);
             }
-            Input::Hangup(front, name, cause) => self.hangup(now, front, name, cause),
+            Input::Hangup(front, name, cause) => self.handle_hangup(now, front, name, cause),
             Input::Media(front, name, frame) => {
-                let call = self.by_name.get(&name).and_then(|id| self.calls.get(id));
-                let call = call.filter(|c| c.standing && c.front == front);
-                if let Some(out) = call.and_then(|c| c.out.as_ref()) {
+                let call = self.call_by_name.get(&name).and_then(|id| self.calls.get(id));
+                let call = call.filter(|c| c.established && c.front == front);
+                if let Some(out) = call.and_then(|c| c.attempt.as_ref()) {
                     let (link, message) = (out.link, ToHub::Media(name, frame));
                     self.to_hub(link, message);
                 }
             }
-            Input::Hub(link, from) => self.heard(now, link, from),
-            Input::List(news) => self.list(now, news),
-            Input::Current => self.current = true,
-            Input::Keep => self.paint(now, usize::MAX),
+            Input::Hub(link, from) => self.handle_hub_event(now, link, from),
+            Input::HubList(update) => self.apply_hub_list(now, update),
+            Input::ChangeLogCurrent => self.change_log_current = true,
+            Input::ExportState => self.collect_state(now, usize::MAX),
         }
     }
 
     /// Gathers the beliefs of up to `most` more hubs, and hands out the picture once it is whole.
-    fn paint(&mut self, now: Micros, most: usize) {
+    fn collect_state(&mut self, now: Micros, max_hubs: usize) {
         // Danger: before the first list nothing is known; what the last start knew must not give way to it.
-        let Some(keeping) = self.keeping.as_mut().filter(|_| !self.hubs.is_empty()) else { return };
+        let Some(export) = self.export.as_mut().filter(|_| !self.hubs.is_empty()) else { return };
         let (hubs, controller) = (&self.hubs, &self.controller);
         let look = |i: usize| {
             let hub = hubs.get(i).filter(|h| h.phase != Phase::Gone)?;
-            Some(Kept { hub: hub.identity(), belief: controller.belief(hub.id)? })
+            Some(LearnedHub { hub: hub.identity(), belief: controller.belief(hub.id)? })
         };
-        let painter = keeping.painter.get_or_insert_default();
-        if let Some(mut gathered) = painter.add(hubs.len(), most, look) {
-            let unnamed = self.memory.iter().flat_map(|m| m.unnamed(now)).cloned();
-            gathered.extend(unnamed.take(HUBS_MOST.saturating_sub(hubs.len())));
-            let picture = Picture { at: now, hold: controller.hold(), hubs: gathered };
-            keeping.painter = None;
-            keeping.next = now + keeping.every;
-            keeping.pictures.send_replace(Some(Arc::new(picture)));
+        let collector = export.collector.get_or_insert_default();
+        if let Some(mut gathered) = collector.collect(hubs.len(), max_hubs, look) {
+            let unlisted = self.restored.iter().flat_map(|m| m.unlisted(now)).cloned();
+            gathered.extend(unlisted.take(MAX_HUBS.saturating_sub(hubs.len())));
+            let learned = LearnedState { at: now, hold: controller.hold(), hubs: gathered };
+            export.collector = None;
+            export.next_at = now + export.interval;
+            export.sender.send_replace(Some(Arc::new(learned)));
         }
     }
 
     /// What an earlier start knew of the hubs that are named for the first time.
-    fn recall(&mut self, now: Micros) {
-        let Some(memory) = &mut self.memory else { return };
-        let fresh = self.hubs.iter_mut().filter(|h| h.fresh);
+    fn recall_new_hubs(&mut self, now: Micros) {
+        let Some(restored) = &mut self.restored else { return };
+        let newly_listed = self.hubs.iter_mut().filter(|h| h.newly_listed);
         let mut recalled = Vec::new();
-        for hub in fresh {
-            hub.fresh = false;
-            recalled.extend(memory.recall(&hub.identity(), now).map(|belief| (hub.id, belief)));
+        for hub in newly_listed {
+            hub.newly_listed = false;
+            recalled.extend(restored.recall(&hub.identity(), now).map(|belief| (hub.id, belief)));
         }
-        let hold = memory.hold(now);
-        if memory.is_empty() {
-            self.memory = None;
+        let hold = restored.hold(now);
+        if restored.is_empty() {
+            self.restored = None;
         }
         if hold.is_some() || !recalled.is_empty() {
-            self.tell(now, Event::Recalled(hold, recalled));
+            self.dispatch(now, Event::Recalled(hold, recalled));
         }
     }
 
     /// Hands out what is due.
     pub fn tick(&mut self, now: Micros) {
-        for due in self.wheel.advance(now) {
+        for due in self.timers.advance(now) {
             match due {
-                Due::Module(token) => self.tell(now, Event::Timer(token)),
-                Due::Attempt(id, number) => {
-                    let out = self.calls.get(&id).filter(|c| !c.standing).and_then(|c| c.out.as_ref());
-                    if out.is_some_and(|o| o.number == number && o.ending.is_none()) {
+                TimerEvent::Module(token) => self.dispatch(now, Event::Timer(token)),
+                TimerEvent::Attempt(id, number) => {
+                    let out = self.calls.get(&id).filter(|c| !c.established).and_then(|c| c.attempt.as_ref());
+                    if out.is_some_and(|o| o.number == number && o.give_up_reason.is_none()) {
                         self.give_up(id, Outcome::TimedOut);
                     }
                 }
                 // Guards the first rule: the module answers a little before; this is for its bugs.
-                Due::Deadline(id) => {
+                TimerEvent::Deadline(id) => {
                     if self.calls.get(&id).is_some_and(|c| !c.answered) {
-                        self.finish(now, Action::Fail(id));
+                        self.give_final_answer(now, Action::Fail(id));
                     }
                 }
                 // What is open when the program must end is refused, else it would be lost.
-                Due::Stop => {
-                    self.refuses_new = true;
+                TimerEvent::Shutdown => {
+                    self.refuse_new_calls = true;
                     let open = self.calls.values().filter(|c| !c.answered).map(|c| c.id);
                     let open: Vec<CallId> = open.collect();
                     for id in open {
-                        self.finish(now, Action::Refuse(id, Micros(0)));
-                        self.tell(now, Event::Left(id));
+                        self.give_final_answer(now, Action::Refuse(id, Micros(0)));
+                        self.dispatch(now, Event::Left(id));
                     }
                 }
             }
         }
-        while self.ended_by_age.front().is_some_and(|(_, at)| *at + ENDED_KEPT < now) {
-            self.forget_oldest();
+        while self.ended_calls_by_age.front().is_some_and(|(_, at)| *at + ENDED_CALL_RETENTION < now) {
+            self.forget_oldest_ended_call();
         }
-        if self.keeping.as_ref().is_some_and(|k| k.next <= now || k.painter.is_some()) {
-            self.paint(now, PAINTED_EACH);
+        if self.export.as_ref().is_some_and(|e| e.next_at <= now || e.collector.is_some()) {
+            self.collect_state(now, HUBS_COLLECTED_PER_TICK);
         }
-        if let Some(figures) = &self.figures {
-            let (open, stopping) = (self.at.len() as u32, self.stopping);
-            figures.send_replace(Figures { offered: self.offered, open, seq: self.seq, stopping });
+        if let Some(sender) = &self.load_sender {
+            let (open, stopping) = (self.calls_by_link.len() as u32, self.stopping);
+            sender.send_replace(LoadFigures { offered: self.offered, open, seq: self.seq, stopping });
         }
         let was = *self.status.borrow();
-        let settled = was.settled || self.started + READY_AFTER <= now || self.informed();
-        let status = Status { settled, stopping: self.stopping, unanswered: self.unanswered };
+        let ready = was.ready || self.started + READY_TIMEOUT <= now || self.has_initial_state();
+        let status = Status { ready, stopping: self.stopping, unanswered: self.unanswered };
         if status != was {
             self.status.send_replace(status);
         }
@@ -442,17 +442,19 @@
 
     /// Whether the start's news are in: the change log's, and the state of every hub. Danger: the list of the
     /// start may be older than a drain that counts as told.
-    fn informed(&self) -> bool {
-        let asked = |h: &&HubState| h.phase == Phase::Up && !h.fixed;
-        self.listed && self.current && self.hubs.iter().filter(asked).all(|h| h.heard)
+    fn has_initial_state(&self) -> bool {
+        let asked = |h: &&HubState| h.phase == Phase::Up && !h.configured;
+        self.full_list_received
+            && self.change_log_current
+            && self.hubs.iter().filter(asked).all(|h| h.reported)
     }
 
     // ---- callers ----
 
-    fn offer(&mut self, now: Micros, offer: Offer) {
+    fn handle_offer(&mut self, now: Micros, offer: Offer) {
         self.offered += 1;
         metrics::CALLS_OFFERED.increment();
-        if let Some(known) = self.by_name.get(&offer.call).and_then(|id| self.calls.get(id)) {
+        if let Some(known) = self.call_by_name.get(&offer.call).and_then(|id| self.calls.get(id)) {
             // A repeat of a set-up that is open: its answer is owed once. Danger: one from elsewhere, or
             // of a call that stands or is still being given up at a hub, must not get a second attempt,
             // nor leave whoever sent it without a word.
@@ -461,7 +463,7 @@
             }
             return;
         }
-        if self.refuses_new {
+        if self.refuse_new_calls {
             metrics::CALLS_REFUSED.increment();
             return self.to_front(offer.front, ToFront::Refuse(offer.origin, offer.call, Micros(0)));
         }
@@ -469,7 +471,7 @@
         let Some((class, (effect, waits))) = class.and_then(|c| Some((c, *self.classes.get(c)?))) else {
             return self.to_front(offer.front, ToFront::Fail(offer.origin, offer.call));
         };
-        let longest = self.classes.iter().map(|(_, deadline)| *deadline).fold(WAIT_MOST, Micros::max);
+        let longest = self.classes.iter().map(|(_, deadline)| *deadline).fold(MAX_CALLER_WAIT, Micros::max);
         let deadline = offer.deadline.unwrap_or(now + waits).min(now + longest);
         // Danger: set-ups of 16 KiB each fill the memory long before the table is full.
         let held = self.description_bytes + offer.description.bytes.len();
@@ -482,7 +484,7 @@
             id,
             class,
             place: offer.place,
-            number: number_of(&offer.number),
+            number: number_key(&offer.number),
             deadline,
             repeat: offer.repeat,
             returned: offer.returned,
@@ -491,8 +493,8 @@
         tracing::debug!(call = %offer.call, within_us = (deadline - now).0, "taken");
         self.description_bytes = held;
         self.unanswered += 1;
-        self.by_name.insert(offer.call, id);
-        self.wheel.add(deadline, Due::Deadline(id));
+        self.call_by_name.insert(offer.call, id);
+        self.timers.add(deadline, TimerEvent::Deadline(id));
         let call = Call {
             id,
             name: offer.call,
@@ -504,38 +506,38 @@
             description: offer.description,
             deadline,
             answered: false,
-            standing: false,
-            out: None,
-            sent: 0,
+            established: false,
+            attempt: None,
+            attempts_sent: 0,
             may_have_run: false,
             not_before: Micros(0),
         };
         self.calls.insert(id, call);
-        self.tell(now, Event::Call(asked));
+        self.dispatch(now, Event::Call(asked));
     }
 
-    fn withdrawn(&mut self, now: Micros, front: FrontId, name: CallName) {
-        let Some(id) = self.by_name.get(&name).copied() else { return };
+    fn handle_withdrawal(&mut self, now: Micros, front: FrontId, name: CallName) {
+        let Some(id) = self.call_by_name.get(&name).copied() else { return };
         let Some(call) = self.calls.get_mut(&id).filter(|c| c.front == front && !c.answered) else { return };
         call.answered = true;
         self.unanswered -= 1;
-        self.tell(now, Event::Left(id));
+        self.dispatch(now, Event::Left(id));
         self.give_up(id, Outcome::Withdrawn);
-        self.drop_if_over(now, id);
+        self.remove_call_if_over(now, id);
     }
 
-    fn hangup(&mut self, now: Micros, front: FrontId, name: CallName, cause: Cause) {
-        let Some(id) = self.by_name.get(&name).copied() else {
+    fn handle_hangup(&mut self, now: Micros, front: FrontId, name: CallName, cause: Cause) {
+        let Some(id) = self.call_by_name.get(&name).copied() else {
             // A call from before this start: whichever hub has it may hear of its release.
-            if !self.ended.contains_key(&name) {
-                let links: Vec<LinkId> = self.links.keys().copied().collect();
+            if !self.ended_calls.contains_key(&name) {
+                let links: Vec<LinkId> = self.hub_by_link.keys().copied().collect();
                 links.into_iter().for_each(|link| self.to_hub(link, ToHub::Release(name, cause)));
-                self.remember_ended(now, name);
+                self.remember_ended_call(now, name);
             }
             return;
         };
-        let standing = self.calls.get(&id).filter(|c| c.front == front && c.standing);
-        if let Some(link) = standing.and_then(|c| c.out.as_ref()).map(|o| o.link) {
+        let standing = self.calls.get(&id).filter(|c| c.front == front && c.established);
+        if let Some(link) = standing.and_then(|c| c.attempt.as_ref()).map(|o| o.link) {
             self.to_hub(link, ToHub::Release(name, cause));
             self.end_attempt(now, id, Outcome::Withdrawn, false, Report::default());
         }
@@ -544,68 +546,82 @@
 
     // ---- hubs ----
 
-    fn heard(&mut self, now: Micros, link: LinkId, from: FromHub) {
-        let index = self.links.get(&link).copied();
+    fn handle_hub_event(&mut self, now: Micros, link: LinkId, from: FromHub) {
+        let index = self.hub_by_link.get(&link).copied();
         // A link that closes has its set-ups settled, and is believed in nothing else.
         let settles = matches!(
             from,
             FromHub::GivenUp { .. }
-                | FromHub::Broken(..)
+                | FromHub::ConnectionLost(..)
                 | FromHub::Unreachable(..)
                 | FromHub::NotSent(..)
                 | FromHub::Closed
         );
-        if index.is_none() && !(settles && self.closing.contains(&link)) {
+        if index.is_none() && !(settles && self.closing_links.contains(&link)) {
             return;
         }
         match from {
-            FromHub::Stands(name, description) => self.stands(now, link, name, description),
+            FromHub::Answered(name, description) => self.handle_answer(now, link, name, description),
             FromHub::Released(name, cause, note, report) => {
-                let Some((id, call)) = self.at_link(link, name) else {
-                    self.probed(now, index, report);
+                let Some((id, call)) = self.call_at_link(link, name) else {
+                    self.forward_load_report(now, index, report);
                     // A call from before this start. Danger: one that ended here must not end twice.
-                    if !self.by_name.contains_key(&name) && !self.ended.contains_key(&name) {
+                    if !self.call_by_name.contains_key(&name) && !self.ended_calls.contains_key(&name) {
                         for front in 0..self.fronts.len() {
                             self.to_front(FrontId(front), ToFront::Release(None, name, cause));
                         }
-                        self.remember_ended(now, name);
+                        self.remember_ended_call(now, name);
                     }
                     return;
                 };
-                let outcome = ends::outcome(Seen::Released(cause, note), call.standing, None);
-                if call.standing {
+                let outcome = outcome::outcome_of(AttemptEnd::Released(cause, note), call.established, None);
+                if call.established {
                     let (front, origin) = (call.front, call.origin);
                     metrics::CALLS_RELEASED.increment();
                     self.to_front(front, ToFront::Release(Some(origin), name, cause));
                 }
-                self.end_attempt(now, id, outcome, note == Note::Engaged, report);
+                self.end_attempt(now, id, outcome, note == RefusalNote::NumberBusy, report);
             }
             FromHub::ReleasedUnanswered(name, cause, report) => {
-                self.released_unanswered(now, link, name, cause, report);
+                self.handle_release_before_answer(now, link, name, cause, report);
             }
             FromHub::GivenUp { attempt, call, began } => {
-                self.over(now, call, attempt, if began { Seen::GivenUp } else { Seen::TakenBack });
+                self.handle_set_up_end(
+                    now,
+                    call,
+                    attempt,
+                    if began { AttemptEnd::GivenUp } else { AttemptEnd::CancelledUnsent },
+                );
+            }
+            FromHub::ConnectionLost(name, attempt) => {
+                self.handle_set_up_end(now, name, attempt, AttemptEnd::ConnectionLost)
+            }
+            FromHub::Unreachable(name, attempt) => {
+                self.handle_set_up_end(now, name, attempt, AttemptEnd::Unreachable)
             }
-            FromHub::Broken(name, attempt) => self.over(now, name, attempt, Seen::Lost),
-            FromHub::Unreachable(name, attempt) => self.over(now, name, attempt, Seen::Unreachable),
             FromHub::NotSent(name, attempt) => {
-                let late = self.attempt(name, attempt).is_none_or(|(_, out)| now >= out.until);
-                self.over(now, name, attempt, if late { Seen::Late } else { Seen::Drained });
+                let late = self.open_attempt(name, attempt).is_none_or(|(_, out)| now >= out.times_out_at);
+                self.handle_set_up_end(
+                    now,
+                    name,
+                    attempt,
+                    if late { AttemptEnd::NotSentExpired } else { AttemptEnd::NotSentDraining },
+                );
             }
-            FromHub::State(report) => {
+            FromHub::LoadReport(report) => {
                 if let Some(index) = index {
-                    self.hubs[index].heard = true;
+                    self.hubs[index].reported = true;
                 }
-                self.probed(now, index, report);
+                self.forward_load_report(now, index, report);
             }
             FromHub::Closed => {
-                self.closing.remove(&link);
+                self.closing_links.remove(&link);
                 // Guards against a link that forgot one: with its connections closed, nothing is out there.
-                self.cut(now, link, |_| true);
+                self.end_attempts_at_link(now, link, |_| true);
             }
-            FromHub::Dead => self.cut_standing(now, link, index, "dead"),
+            FromHub::Dead => self.cut_established_calls(now, link, index, "dead"),
             FromHub::Media(name, frame) => {
-                let call = self.at_link(link, name).map(|(_, c)| (c.standing, c.front, c.origin));
+                let call = self.call_at_link(link, name).map(|(_, c)| (c.established, c.front, c.origin));
                 if let Some((true, front, origin)) = call {
                     self.to_front(front, ToFront::Media(origin, name, frame));
                 }
@@ -617,7 +633,7 @@
     /// the end within 1 s (PROTOCOL, 'The rules on sockets'), and there is no answer that could be passed on
     /// first. Danger: a further attempt would leave the caller untold of the end of the call that it made, and
     /// answered for another one. The answer that still comes is nobody's.
-    fn released_unanswered(
+    fn handle_release_before_answer(
         &mut self,
         now: Micros,
         link: LinkId,
@@ -625,8 +641,8 @@
         cause: Cause,
         report: Report,
     ) {
-        let Some((id, call)) = self.at_link(link, name) else { return };
-        let outcome = ends::outcome(Seen::ReleasedUnanswered(cause), call.standing, None);
+        let Some((id, call)) = self.call_at_link(link, name) else { return };
+        let outcome = outcome::outcome_of(AttemptEnd::ReleasedUnanswered(cause), call.established, None);
         self.fail_without_give_up(now, id);
         self.end_attempt(now, id, outcome, false, report);
     }
@@ -641,40 +657,41 @@
         metrics::CALLS_FAILED.increment();
         tracing::debug!(call = %call.name, "failed: released without an answer");
         self.to_front(front, message);
-        self.tell(now, Event::Left(id));
+        self.dispatch(now, Event::Left(id));
     }
 
-    fn probed(&mut self, now: Micros, index: Option<usize>, report: Report) {
+    fn forward_load_report(&mut self, now: Micros, index: Option<usize>, report: Report) {
         if let Some(index) = index.filter(|_| report != Report::default()) {
-            self.tell(now, Event::Probed(self.hubs[index].id, Outcome::Success, report));
+            self.dispatch(now, Event::Probed(self.hubs[index].id, Outcome::Success, report));
         }
     }
 
-    fn stands(&mut self, now: Micros, link: LinkId, name: CallName, description: Description) {
-        let id = self.by_name.get(&name).copied();
+    fn handle_answer(&mut self, now: Micros, link: LinkId, name: CallName, description: Description) {
+        let id = self.call_by_name.get(&name).copied();
         let call = id.and_then(|id| self.calls.get_mut(&id));
-        let out =
-            call.and_then(|c| c.out.as_ref().filter(|o| o.link == link).map(|o| (o.ending, c.standing)));
+        let out = call.and_then(|c| {
+            c.attempt.as_ref().filter(|o| o.link == link).map(|o| (o.give_up_reason, c.established))
+        });
         match (id, out) {
             (Some(_), Some((_, true))) => {}
             (Some(id), Some((None, false))) if self.calls.get(&id).is_some_and(|c| !c.answered) => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
                 call.answered = true;
                 self.unanswered -= 1;
-                call.standing = true;
+                call.established = true;
                 self.description_bytes -= call.description.bytes.len();
                 call.description = Description::default();
-                let Some(out) = &call.out else { return };
-                let (front, origin, server, copy) = (call.front, call.origin, out.server, out.copy);
-                let took = now - out.sent;
+                let Some(out) = &call.attempt else { return };
+                let (front, origin, server, copy) = (call.front, call.origin, out.server, out.index);
+                let took = now - out.sent_at;
                 metrics::CALLS_ANSWERED.increment();
                 tracing::debug!(call = %name, attempt = out.number, link = link.0, "stands");
                 self.to_front(front, ToFront::Answer(origin, name, description));
-                self.tell(now, Event::Stands(id, server, copy, took));
+                self.dispatch(now, Event::Stands(id, server, copy, took));
             }
             // Danger: an answer that crosses the give-up. The hub holds a call that nobody has; it is
             // released there and never passed on. A give-up still to be written releases it as well.
-            _ if id.is_some() || self.ended.contains_key(&name) => {
+            _ if id.is_some() || self.ended_calls.contains_key(&name) => {
                 self.to_hub(link, ToHub::Release(name, Cause::NORMAL));
             }
             // An id that nobody knows comes ahead of what a hub has to say, and means nothing.
@@ -683,18 +700,18 @@
     }
 
     /// A link saw an attempt end before its call stood.
-    fn over(&mut self, now: Micros, name: CallName, attempt: u64, seen: Seen) {
-        let Some((id, out)) = self.attempt(name, attempt) else { return };
-        let outcome = ends::outcome(seen, false, out.ending);
+    fn handle_set_up_end(&mut self, now: Micros, name: CallName, attempt: u64, seen: AttemptEnd) {
+        let Some((id, out)) = self.open_attempt(name, attempt) else { return };
+        let outcome = outcome::outcome_of(seen, false, out.give_up_reason);
         // One that stands is ended by its hub alone.
-        if self.calls.get(&id).is_some_and(|c| !c.standing) {
+        if self.calls.get(&id).is_some_and(|c| !c.established) {
             self.end_attempt(now, id, outcome, false, Report::default());
         }
     }
 
     /// Cuts the calls that stand at a hub whose process is over.
-    fn cut_standing(&mut self, now: Micros, link: LinkId, index: Option<usize>, why: &'static str) {
-        let cut = self.cut(now, link, |call| call.standing);
+    fn cut_established_calls(&mut self, now: Micros, link: LinkId, index: Option<usize>, why: &'static str) {
+        let cut = self.end_attempts_at_link(now, link, |call| call.established);
         let hub = index.map_or("", |index| &*self.hubs[index].uid);
         if cut > 0 {
             tracing::info!(hub, link = link.0, why, cut, "calls cut");
@@ -702,41 +719,45 @@
     }
 
     /// What a hub had of these calls is over: its process is dead or gone. How many of them stood.
-    fn cut(&mut self, now: Micros, link: LinkId, which: impl Fn(&Call) -> bool) -> u64 {
+    fn end_attempts_at_link(&mut self, now: Micros, link: LinkId, which: impl Fn(&Call) -> bool) -> u64 {
         let mut cut = 0;
-        let at = self.at.range((link, CallId(0))..=(link, CallId(u64::MAX)));
+        let at = self.calls_by_link.range((link, CallId(0))..=(link, CallId(u64::MAX)));
         let at: Vec<CallId> = at.map(|(_, id)| *id).collect();
         for id in at {
             let Some(call) = self.calls.get(&id).filter(|c| which(c)) else { continue };
-            if call.standing {
+            if call.established {
                 let message = ToFront::Release(Some(call.origin), call.name, Cause::TEMPORARY_FAILURE);
                 self.to_front(call.front, message);
                 cut += 1;
             }
-            let outcome = ends::outcome(Seen::Lost, call.standing, call.out.as_ref().and_then(|o| o.ending));
+            let outcome = outcome::outcome_of(
+                AttemptEnd::ConnectionLost,
+                call.established,
+                call.attempt.as_ref().and_then(|o| o.give_up_reason),
+            );
             self.end_attempt(now, id, outcome, false, Report::default());
         }
         metrics::CALLS_CUT.add(cut);
         cut
     }
 
-    fn at_link(&self, link: LinkId, name: CallName) -> Option<(CallId, &Call)> {
-        let id = *self.by_name.get(&name)?;
+    fn call_at_link(&self, link: LinkId, name: CallName) -> Option<(CallId, &Call)> {
+        let id = *self.call_by_name.get(&name)?;
         let call = self.calls.get(&id)?;
-        call.out.as_ref().filter(|o| o.link == link).map(|_| (id, call))
+        call.attempt.as_ref().filter(|o| o.link == link).map(|_| (id, call))
     }
 
-    fn attempt(&self, name: CallName, number: u64) -> Option<(CallId, &Attempt)> {
-        let id = *self.by_name.get(&name)?;
-        let out = self.calls.get(&id)?.out.as_ref()?;
+    fn open_attempt(&self, name: CallName, number: u64) -> Option<(CallId, &Attempt)> {
+        let id = *self.call_by_name.get(&name)?;
+        let out = self.calls.get(&id)?.attempt.as_ref()?;
         Some((id, out)).filter(|(_, o)| o.number == number)
     }
 
     fn end_attempt(&mut self, now: Micros, id: CallId, outcome: Outcome, number_busy: bool, report: Report) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(out) = call.out.take() else { return };
-        self.at.remove(&(out.link, id));
-        call.standing = false;
+        let Some(out) = call.attempt.take() else { return };
+        self.calls_by_link.remove(&(out.link, id));
+        call.established = false;
         call.may_have_run |= !outcome.proves_unrun();
         tracing::debug!(call = %call.name, attempt = out.number, link = out.link.0, ?outcome, "ended");
         if outcome.awaits_release() {
@@ -744,49 +765,49 @@
         }
         let end = End {
             id,
-            attempt: out.copy,
+            attempt: out.index,
             server: out.server,
             outcome,
             over: call.answered,
             number_busy,
             report,
         };
-        self.tell(now, Event::Ended(end));
-        self.drop_if_over(now, id);
+        self.dispatch(now, Event::Ended(end));
+        self.remove_call_if_over(now, id);
     }
 
     fn give_up(&mut self, id: CallId, ending: Outcome) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let name = call.name;
-        let Some(out) = call.out.as_mut().filter(|o| o.ending.is_none()) else { return };
-        out.ending = Some(ending);
+        let Some(out) = call.attempt.as_mut().filter(|o| o.give_up_reason.is_none()) else { return };
+        out.give_up_reason = Some(ending);
         tracing::debug!(call = %name, attempt = out.number, ?ending, "giving up");
         let (link, number) = (out.link, out.number);
         self.to_hub(link, ToHub::GiveUp(name, number));
     }
 
-    fn drop_if_over(&mut self, now: Micros, id: CallId) {
-        if self.calls.get(&id).is_some_and(|c| c.answered && c.out.is_none()) {
+    fn remove_call_if_over(&mut self, now: Micros, id: CallId) {
+        if self.calls.get(&id).is_some_and(|c| c.answered && c.attempt.is_none()) {
             if let Some(call) = self.calls.remove(&id) {
                 self.description_bytes -= call.description.bytes.len();
-                self.by_name.remove(&call.name);
-                self.remember_ended(now, call.name);
+                self.call_by_name.remove(&call.name);
+                self.remember_ended_call(now, call.name);
             }
         }
     }
 
-    fn remember_ended(&mut self, now: Micros, name: CallName) {
-        self.ended.insert(name, now);
-        self.ended_by_age.push_back((name, now));
-        if self.ended_by_age.len() > ENDED_MOST {
-            self.forget_oldest();
+    fn remember_ended_call(&mut self, now: Micros, name: CallName) {
+        self.ended_calls.insert(name, now);
+        self.ended_calls_by_age.push_back((name, now));
+        if self.ended_calls_by_age.len() > MAX_ENDED_CALLS {
+            self.forget_oldest_ended_call();
         }
     }
 
-    fn forget_oldest(&mut self) {
-        if let Some((name, at)) = self.ended_by_age.pop_front() {
-            if self.ended.get(&name) == Some(&at) {
-                self.ended.remove(&name);
+    fn forget_oldest_ended_call(&mut self) {
+        if let Some((name, at)) = self.ended_calls_by_age.pop_front() {
+            if self.ended_calls.get(&name) == Some(&at) {
+                self.ended_calls.remove(&name);
             }
         }
     }
@@ -795,12 +816,13 @@
 
     /// Where that hub's state is. Danger: hubs are replaced for as long as the program runs; the state of
     /// the one that has been gone longest makes room for a new one, which gets an id of its own.
-    fn hub(&mut self, hub: &Hub) -> Option<usize> {
-        if let Some(index) = self.by_uid.get(&*hub.uid) {
+    fn find_or_add_hub(&mut self, hub: &Hub) -> Option<usize> {
+        if let Some(index) = self.hub_by_uid.get(&*hub.uid) {
             return Some(*index);
         }
-        let oldest = self.gone.first().copied().filter(|_| self.gone.len() >= GONE_MOST);
-        if oldest.is_none() && self.hubs.len() >= HUBS_MOST {
+        let oldest =
+            self.removable_hubs.first().copied().filter(|_| self.removable_hubs.len() >= MAX_GONE_HUBS);
+        if oldest.is_none() && self.hubs.len() >= MAX_HUBS {
             return None;
         }
         self.last_hub += 1;
@@ -811,25 +833,25 @@
             place: hub.place,
             born: hub.born,
             phase: Phase::Up,
-            told: None,
+            leaving_since: None,
             link: None,
-            heard: false,
-            fixed: false,
-            fresh: true,
-            named: 0,
+            reported: false,
+            configured: false,
+            newly_listed: true,
+            last_listed: 0,
         };
         let index = match oldest {
             Some(oldest) => {
-                self.gone.remove(&oldest);
+                self.removable_hubs.remove(&oldest);
                 let old = &self.hubs[oldest.1];
-                self.by_uid.remove(&old.uid);
-                self.by_id.remove(&old.id);
+                self.hub_by_uid.remove(&old.uid);
+                self.hub_by_id.remove(&old.id);
                 oldest.1
             }
             None => self.hubs.len(),
         };
-        self.by_uid.insert(state.uid.clone(), index);
-        self.by_id.insert(state.id, index);
+        self.hub_by_uid.insert(state.uid.clone(), index);
+        self.hub_by_id.insert(state.id, index);
         match oldest {
             Some(_) => self.hubs[index] = state,
             None => self.hubs.push(state),
@@ -837,12 +859,12 @@
         Some(index)
     }
 
-    fn list(&mut self, now: Micros, news: News) {
-        self.lists += 1;
-        self.seq = self.seq.max(news.seq);
-        let mut named: Vec<usize> = Vec::with_capacity(news.hubs.len());
-        for hub in &news.hubs {
-            let Some(index) = self.hub(hub) else { continue };
+    fn apply_hub_list(&mut self, now: Micros, update: HubListUpdate) {
+        self.update_count += 1;
+        self.seq = self.seq.max(update.seq);
+        let mut named: Vec<usize> = Vec::with_capacity(update.hubs.len());
+        for hub in &update.hubs {
+            let Some(index) = self.find_or_add_hub(hub) else { continue };
             let state = &mut self.hubs[index];
             // A start or an address that differs is another process: what the old one had is cut.
             let other = state.born != hub.born && hub.phase == Phase::Up
@@ -856,17 +878,18 @@
                 tracing::debug!(hub = %state.uid, phase = ?hub.phase, endpoint = %state.endpoint, other, "listed");
             }
             state.phase = hub.phase;
-            state.named = self.lists;
+            state.last_listed = self.update_count;
             if other {
-                self.close(now, index);
+                self.close_link(now, index);
             }
             if hub.phase == Phase::Up && !hub.endpoint.is_empty() {
-                self.succeed(now, index, &mut named);
+                self.replace_predecessor(now, index, &mut named);
             }
             named.push(index);
         }
-        if news.all {
-            let absent = |h: &HubState| h.named != self.lists && !h.fixed && h.phase != Phase::Gone;
+        if update.full {
+            let absent =
+                |h: &HubState| h.last_listed != self.update_count && !h.configured && h.phase != Phase::Gone;
             let absent: Vec<usize> = (0..self.hubs.len()).filter(|i| absent(&self.hubs[*i])).collect();
             for index in absent {
                 self.hubs[index].phase = Phase::Gone;
@@ -876,86 +899,91 @@
         named.sort_unstable();
         named.dedup();
         for index in &named {
-            self.place(now, *index, news.told.min(now));
+            self.apply_phase(now, *index, update.effective_since.min(now));
         }
-        let entry =
-            |h: &HubState| Entry { server: h.id, place: h.place, phase: h.phase, born: h.born, told: h.told };
-        let (kind, entries) = match self.listed && !news.all {
+        let entry = |h: &HubState| Entry {
+            server: h.id,
+            place: h.place,
+            phase: h.phase,
+            born: h.born,
+            told: h.leaving_since,
+        };
+        let (kind, entries) = match self.full_list_received && !update.full {
             true => (ListKind::Changes, named.iter().map(|i| entry(&self.hubs[*i])).collect()),
             false => {
-                let kind = if news.all { ListKind::Full } else { ListKind::Saved };
+                let kind = if update.full { ListKind::Full } else { ListKind::Saved };
                 (kind, self.hubs.iter().filter(|h| h.phase != Phase::Gone).map(entry).collect())
             }
         };
-        self.listed |= news.all;
-        if self.memory.is_some() {
-            self.recall(now);
+        self.full_list_received |= update.full;
+        if self.restored.is_some() {
+            self.recall_new_hubs(now);
         }
-        self.tell(now, Event::List(kind, entries));
+        self.dispatch(now, Event::List(kind, entries));
     }
 
     /// A hub that comes into service at an address succeeds whoever had it. Danger: the other's link, with its end
     /// still to be told, would dial the new process, and take its words for the old one's.
-    fn succeed(&mut self, now: Micros, index: usize, named: &mut Vec<usize>) {
-        let old = self.linked.get(&self.hubs[index].endpoint).copied();
-        if let Some(old) = old.filter(|i| *i != index && !self.hubs[*i].fixed) {
+    fn replace_predecessor(&mut self, now: Micros, index: usize, named: &mut Vec<usize>) {
+        let old = self.hub_by_endpoint.get(&self.hubs[index].endpoint).copied();
+        if let Some(old) = old.filter(|i| *i != index && !self.hubs[*i].configured) {
             tracing::debug!(hub = %self.hubs[old].uid, by = %self.hubs[index].uid, "succeeded");
             self.hubs[old].phase = Phase::Gone;
-            self.close(now, old);
+            self.close_link(now, old);
             named.push(old);
         }
     }
 
     /// Has a hub's link be as the hub's phase wants it; a phase that is new counts as told since `told`.
-    fn place(&mut self, now: Micros, index: usize, told: Micros) {
+    fn apply_phase(&mut self, now: Micros, index: usize, told: Micros) {
         if self.hubs[index].phase == Phase::Gone {
-            self.close(now, index);
+            self.close_link(now, index);
         }
         let state = &mut self.hubs[index];
         if state.phase == Phase::Up && state.link.is_none() {
             self.last_link += 1;
             let link = LinkId(self.last_link);
             state.link = Some((link, (self.connect)(link, &state.endpoint)));
-            self.links.insert(link, index);
-            self.linked.insert(state.endpoint.clone(), index);
+            self.hub_by_link.insert(link, index);
+            self.hub_by_endpoint.insert(state.endpoint.clone(), index);
         }
-        let was = state.told;
-        state.told = match state.phase {
+        let was = state.leaving_since;
+        state.leaving_since = match state.phase {
             Phase::Up => None,
             _ => Some(was.unwrap_or(told)),
         };
-        if was != state.told {
-            let message = ToHub::NotAfter(state.told.map(|t| t + self.limits.drain_grace));
+        if was != state.leaving_since {
+            let message = ToHub::SetUpCutoff(state.leaving_since.map(|t| t + self.limits.drain_grace));
             if let Some(link) = state.link.as_ref().map(|l| l.0) {
                 self.to_hub(link, message);
             }
         }
         if let Some(was) = was {
-            self.gone.remove(&(was, index));
+            self.removable_hubs.remove(&(was, index));
         }
         let state = &self.hubs[index];
-        if let Some(told) = state.told.filter(|_| state.forgettable()) {
-            self.gone.insert((told, index));
+        if let Some(told) = state.leaving_since.filter(|_| state.is_removable()) {
+            self.removable_hubs.insert((told, index));
         }
     }
 
-    fn close(&mut self, now: Micros, index: usize) {
+    fn close_link(&mut self, now: Micros, index: usize) {
         if let Some((link, sender)) = self.hubs[index].link.take() {
             let _ = sender.try_send(ToHub::Close);
-            self.links.remove(&link);
-            self.linked.retain(|_, i| *i != index);
-            self.closing.insert(link);
-            self.hubs[index].heard = false;
+            self.hub_by_link.remove(&link);
+            self.hub_by_endpoint.retain(|_, i| *i != index);
+            self.closing_links.insert(link);
+            self.hubs[index].reported = false;
             // What stood is over. Danger: a set-up is out until its connection is closed; the link says when.
             let why = if self.hubs[index].phase == Phase::Gone { "gone" } else { "replaced" };
-            self.cut_standing(now, link, Some(index), why);
+            self.cut_established_calls(now, link, Some(index), why);
         }
     }
 
     // ---- the module ----
 
     /// Tells the module, and does what it says; what that leads to at once is told next.
-    fn tell(&mut self, now: Micros, event: Event) {
+    fn dispatch(&mut self, now: Micros, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
@@ -963,10 +991,10 @@
             for action in actions {
                 match action {
                     Action::Send(id, server, timeout) => {
-                        if !self.send(now, id, server, timeout) {
+                        if !self.start_attempt(now, id, server, timeout) {
                             let copy = self.calls.get_mut(&id).map_or(0, |c| {
-                                c.sent += 1;
-                                c.sent - 1
+                                c.attempts_sent += 1;
+                                c.attempts_sent - 1
                             });
                             let over = self.calls.get(&id).is_none_or(|c| c.answered);
                             events.push_back(Event::Ended(End {
@@ -980,14 +1008,15 @@
                             }));
                         }
                     }
-                    Action::Refuse(..) | Action::Fail(_) => self.finish(now, action),
+                    Action::Refuse(..) | Action::Fail(_) => self.give_final_answer(now, action),
                     Action::Cancel(id, copy) => {
-                        let out = self.calls.get(&id).filter(|c| !c.standing).and_then(|c| c.out.as_ref());
-                        if out.is_some_and(|o| o.copy == copy) {
+                        let out =
+                            self.calls.get(&id).filter(|c| !c.established).and_then(|c| c.attempt.as_ref());
+                        if out.is_some_and(|o| o.index == copy) {
                             self.give_up(id, Outcome::Withdrawn);
                         }
                     }
-                    Action::Timer(at, token) => self.wheel.add(at, Due::Module(token)),
+                    Action::Timer(at, token) => self.timers.add(at, TimerEvent::Module(token)),
                     // Session controllers have no way to talk to each other, and the list comes unasked.
                     Action::Tell(..) | Action::Watch => {}
                 }
@@ -997,23 +1026,23 @@
 
     /// Starts an attempt, unless a rule forbids it: the module's gate keeps the rules, and this
     /// guards them against its bugs and against what happened while its decision was made.
-    fn send(&mut self, now: Micros, id: CallId, server: ServerId, timeout: Micros) -> bool {
-        let hub = self.by_id.get(&server).and_then(|i| self.hubs.get(*i));
+    fn start_attempt(&mut self, now: Micros, id: CallId, server: ServerId, timeout: Micros) -> bool {
+        let hub = self.hub_by_id.get(&server).and_then(|i| self.hubs.get(*i));
         let Some((hub, (link, sender))) = hub.and_then(|h| h.link.as_ref().map(|l| (h, l))) else {
             return false;
         };
         let Some(call) = self.calls.get_mut(&id) else { return false };
-        let drained = hub.told.is_some_and(|t| t + self.limits.drain_grace <= now);
+        let drained = hub.leaving_since.is_some_and(|t| t + self.limits.drain_grace <= now);
         let until = (now + timeout).min(call.deadline);
         if drained
             || call.answered
-            || call.out.is_some()
-            || call.once()
+            || call.attempt.is_some()
+            || call.must_not_repeat()
             || now < call.not_before
             || until <= now
-            || call.sent >= self.max_attempts
+            || call.attempts_sent >= self.max_attempts
         {
-            tracing::debug!(call = %call.name, hub = %hub.uid, drained, sent = call.sent, "not sent: a rule forbids it");
+            tracing::debug!(call = %call.name, hub = %hub.uid, drained, sent = call.attempts_sent, "not sent: a rule forbids it");
             return false;
         }
         self.last_attempt += 1;
@@ -1030,22 +1059,29 @@
             return false;
         }
         metrics::ATTEMPTS.increment();
-        metrics::RETRIES.add(u64::from(call.sent > 0));
-        tracing::debug!(call = %call.name, attempt = number, link = link.0, hub = %hub.uid, copy = call.sent, "sent");
-        call.out =
-            Some(Attempt { link: *link, server, copy: call.sent, number, sent: now, until, ending: None });
-        self.at.insert((*link, id));
-        call.sent += 1;
-        self.wheel.add(until, Due::Attempt(id, number));
+        metrics::RETRIES.add(u64::from(call.attempts_sent > 0));
+        tracing::debug!(call = %call.name, attempt = number, link = link.0, hub = %hub.uid, copy = call.attempts_sent, "sent");
+        call.attempt = Some(Attempt {
+            link: *link,
+            server,
+            index: call.attempts_sent,
+            number,
+            sent_at: now,
+            times_out_at: until,
+            give_up_reason: None,
+        });
+        self.calls_by_link.insert((*link, id));
+        call.attempts_sent += 1;
+        self.timers.add(until, TimerEvent::Attempt(id, number));
         true
     }
 
     /// Gives a final answer, once. Danger: 'refused' tells a caller that nothing ran, and that it may dial again.
-    fn finish(&mut self, now: Micros, action: Action) {
+    fn give_final_answer(&mut self, now: Micros, action: Action) {
         let (Action::Refuse(id, _) | Action::Fail(id)) = action else { return };
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
-        let open = call.effect != Effect::Free && call.out.is_some();
-        let action = if call.once() || open { Action::Fail(id) } else { action };
+        let open = call.effect != Effect::Free && call.attempt.is_some();
+        let action = if call.must_not_repeat() || open { Action::Fail(id) } else { action };
         call.answered = true;
         self.unanswered -= 1;
         let (front, origin, name) = (call.front, call.origin, call.name);
@@ -1062,7 +1098,7 @@
         };
         self.to_front(front, message);
         self.give_up(id, Outcome::Withdrawn);
-        self.drop_if_over(now, id);
+        self.remove_call_if_over(now, id);
     }
 
     fn to_front(&self, front: FrontId, message: ToFront) {
@@ -1073,7 +1109,7 @@
     }
 
     fn to_hub(&self, link: LinkId, message: ToHub) {
-        let hub = self.links.get(&link).and_then(|i| self.hubs.get(*i));
+        let hub = self.hub_by_link.get(&link).and_then(|i| self.hubs.get(*i));
         let Some((_, sender)) = hub.and_then(|h| h.link.as_ref()) else { return };
         if let Err(mpsc::error::TrySendError::Full(lost)) = sender.try_send(message) {
             tracing::error!(link = link.0, "the hub's link takes nothing, lost {lost:?}");
@@ -1082,7 +1118,7 @@
 }
 
 /// The number called, as the module knows it: its hex digits, or a hash of other text.
-fn number_of(text: &str) -> Option<u64> {
+fn number_key(text: &str) -> Option<u64> {
     let hash = |t: &str| {
         t.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
     };
@@ -1092,7 +1128,7 @@
 /// Danger: where the processor is short, a set-up may wait here while its caller leaves. Taken one by one, it
 /// would be sent on for nobody. Takes out the set-ups that are withdrawn later in the same turn, and puts the
 /// withdrawals first: those ahead of a new set-up of the same name stay there.
-fn skip_withdrawn(turn: &mut Vec<Input>) {
+fn drop_withdrawn_offers(turn: &mut Vec<Input>) {
     let key = |front: FrontId, origin: Origin, call: CallName| (front.0, origin.0, call);
     let mut gone = HashSet::new();
     for input in turn.iter() {
@@ -1128,13 +1164,13 @@
 /// before would be handled after what the timer leads to. So the sockets are read before a tick, and all that waits is
 /// taken together, departures first.
 pub async fn run(mut core: Core, mut inputs: mpsc::Receiver<Input>, clock: Clock) {
-    let mut ticks = tokio::time::interval(Duration::from_micros(TICK.0));
+    let mut ticks = tokio::time::interval(Duration::from_micros(TICK_LENGTH.0));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut waiting = Vec::with_capacity(TURN);
+    let mut waiting = Vec::with_capacity(INPUTS_PER_TICK_CHECK);
     loop {
         let ticked = tokio::select! {
             _ = ticks.tick() => true,
-            count = inputs.recv_many(&mut waiting, QUEUE) => {
+            count = inputs.recv_many(&mut waiting, INPUT_QUEUE_CAPACITY) => {
                 if count == 0 {
                     return;
                 }
@@ -1145,13 +1181,13 @@
             // It goes on once the runtime has polled the sockets and run the tasks that these woke.
             tokio::task::yield_now().await;
         }
-        while waiting.len() < QUEUE {
+        while waiting.len() < INPUT_QUEUE_CAPACITY {
             let Ok(input) = inputs.try_recv() else { break };
             waiting.push(input);
         }
-        skip_withdrawn(&mut waiting);
+        drop_withdrawn_offers(&mut waiting);
         for (number, input) in waiting.drain(..).enumerate() {
-            if number > 0 && number % TURN == 0 {
+            if number > 0 && number % INPUTS_PER_TICK_CHECK == 0 {
                 core.tick(clock.now());
             }
             core.handle(clock.now(), input);
--- a/src/core/ends.rs
+++ b/src/core/outcome.rs
@@ -19,47 +19,49 @@
 //!
 //! Whatever is not proven not to have run may have run; a set-up of which one byte went out is not proven.
 
-use super::types::{Cause, Note};
+use super::types::{Cause, RefusalNote};
 use crate::interface::Outcome;
 
 /// What a link saw of an attempt's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum AttemptEnd {
     /// The hub refused it, or released the call.
-    Released(Cause, Note),
+    Released(Cause, RefusalNote),
     /// The hub released a call that stood, or may have stood, ahead of its answer.
     ReleasedUnanswered(Cause),
     /// The give-up is written.
     GivenUp,
     /// It was taken back before its first byte.
-    TakenBack,
+    CancelledUnsent,
     /// Its connection was lost, or closed, after its first byte.
-    Lost,
+    ConnectionLost,
     /// No connection came up.
     Unreachable,
     /// The hub drains, and its first byte was still to go.
-    Drained,
+    NotSentDraining,
     /// Its time was up before its first byte.
-    Late,
+    NotSentExpired,
 }
 
 /// How an attempt ended. `ending`: what it was being given up for, if it was. `standing`: its call stood.
-pub fn outcome(seen: Seen, standing: bool, ending: Option<Outcome>) -> Outcome {
+pub fn outcome_of(seen: AttemptEnd, standing: bool, ending: Option<Outcome>) -> Outcome {
     match seen {
-        Seen::Released(Cause::NORMAL | Cause(31), _) if standing => Outcome::Success,
+        AttemptEnd::Released(Cause::NORMAL | Cause(31), _) if standing => Outcome::Success,
         _ if standing => Outcome::Broken,
-        Seen::ReleasedUnanswered(Cause::NORMAL) => Outcome::Success,
-        Seen::ReleasedUnanswered(_) => Outcome::Broken,
-        Seen::Released(Cause::NO_CIRCUIT, Note::Throttled) => Outcome::ProcessorFull,
-        Seen::Released(Cause::NO_CIRCUIT, _) => Outcome::Overloaded,
-        Seen::Released(Cause::TIMER_EXPIRY, _) => Outcome::Void,
-        Seen::Released(Cause::TEMPORARY_FAILURE, _) => Outcome::Broken,
-        Seen::Released(..) => Outcome::Failure,
-        Seen::GivenUp => ending.unwrap_or(Outcome::Withdrawn),
+        AttemptEnd::ReleasedUnanswered(Cause::NORMAL) => Outcome::Success,
+        AttemptEnd::ReleasedUnanswered(_) => Outcome::Broken,
+        AttemptEnd::Released(Cause::NO_CIRCUIT, RefusalNote::Throttled) => Outcome::ProcessorFull,
+        AttemptEnd::Released(Cause::NO_CIRCUIT, _) => Outcome::Overloaded,
+        AttemptEnd::Released(Cause::TIMER_EXPIRY, _) => Outcome::Void,
+        AttemptEnd::Released(Cause::TEMPORARY_FAILURE, _) => Outcome::Broken,
+        AttemptEnd::Released(..) => Outcome::Failure,
+        AttemptEnd::GivenUp => ending.unwrap_or(Outcome::Withdrawn),
         // What was decided first counts.
-        Seen::Lost => ending.unwrap_or(Outcome::Broken),
-        Seen::TakenBack | Seen::Unreachable | Seen::Drained => Outcome::Unreachable,
-        Seen::Late => Outcome::Void,
+        AttemptEnd::ConnectionLost => ending.unwrap_or(Outcome::Broken),
+        AttemptEnd::CancelledUnsent | AttemptEnd::Unreachable | AttemptEnd::NotSentDraining => {
+            Outcome::Unreachable
+        }
+        AttemptEnd::NotSentExpired => Outcome::Void,
     }
 }
 
--- a/src/core/wheel.rs
+++ b/src/core/timer_wheel.rs
@@ -3,39 +3,43 @@
 use crate::interface::Micros;
 
 /// Length of a tick.
-pub const TICK: Micros = Micros(5_000);
-const SLOTS: usize = 1024;
+pub const TICK_LENGTH: Micros = Micros(5_000);
+const SLOT_COUNT: usize = 1024;
 
 /// Items that come due, each at the first tick at or past its time.
 #[derive(Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     slots: Vec<Vec<(u64, T)>>,
     /// The tick that is handed out next.
     next: u64,
     held: usize,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// An empty wheel whose first tick is the one after `now`.
-    pub fn new(now: Micros) -> Wheel<T> {
-        Wheel { slots: (0..SLOTS).map(|_| Vec::new()).collect(), next: now.0 / TICK.0, held: 0 }
+    pub fn new(now: Micros) -> TimerWheel<T> {
+        TimerWheel {
+            slots: (0..SLOT_COUNT).map(|_| Vec::new()).collect(),
+            next: now.0 / TICK_LENGTH.0,
+            held: 0,
+        }
     }
 
     /// Puts an item in; one whose time has passed comes due at the next tick.
     pub fn add(&mut self, at: Micros, item: T) {
-        let tick = at.0.div_ceil(TICK.0).max(self.next);
-        self.slots[(tick % SLOTS as u64) as usize].push((tick, item));
+        let tick = at.0.div_ceil(TICK_LENGTH.0).max(self.next);
+        self.slots[(tick % SLOT_COUNT as u64) as usize].push((tick, item));
         self.held += 1;
     }
 
     /// Takes out what is due, tick by tick, in the order in which it was put in.
     pub fn advance(&mut self, now: Micros) -> Vec<T> {
-        let last = now.0 / TICK.0;
+        let last = now.0 / TICK_LENGTH.0;
         let mut due = Vec::new();
         // After a stop of the clock longer than a turn every slot is looked at once, not each tick.
-        let first = self.next.max((last + 1).saturating_sub(SLOTS as u64));
+        let first = self.next.max((last + 1).saturating_sub(SLOT_COUNT as u64));
         for tick in first..=last {
-            let slot = &mut self.slots[(tick % SLOTS as u64) as usize];
+            let slot = &mut self.slots[(tick % SLOT_COUNT as u64) as usize];
             if slot.iter().all(|(t, _)| *t > last) {
                 continue;
             }
--- a/src/core/wheel/tests.rs
+++ b/src/core/timer_wheel/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn items_come_due_at_their_tick_also_after_turns_and_stops() {
-    let mut wheel = Wheel::new(Micros(1_000_000));
+    let mut wheel = TimerWheel::new(Micros(1_000_000));
     wheel.add(Micros(1_000_001), 'a');
     wheel.add(Micros(1_012_000), 'b');
     wheel.add(Micros(9_000_000), 'c');
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -50,7 +50,7 @@
 
 /// What a hub adds to a refusal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Note {
+pub enum RefusalNote {
     /// Nothing.
     #[default]
     None,
@@ -59,14 +59,14 @@
     /// The processor is full.
     Throttled,
     /// Every line of the number is busy.
-    Engaged,
+    NumberBusy,
 }
 
 /// A session's description: opaque here, and understood only by wires of the same form.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Description {
     /// The form's name.
-    pub form: &'static str,
+    pub format: &'static str,
     /// The description itself, passed on unchanged.
     pub bytes: Bytes,
 }
@@ -123,7 +123,7 @@
     /// Release a call that stands, or an answer that came too late.
     Release(CallName, Cause),
     /// No set-up may begin after this time; `None`: they may again.
-    NotAfter(Option<Micros>),
+    SetUpCutoff(Option<Micros>),
     /// A media frame of a call that stands.
     Media(CallName, Description),
     /// The hub is gone: end all. What is open is settled, then [`FromHub::Closed`] comes.
@@ -134,9 +134,9 @@
 #[derive(Clone, Debug)]
 pub enum FromHub {
     /// An answer.
-    Stands(CallName, Description),
+    Answered(CallName, Description),
     /// A refusal, or the release of a call that stands.
-    Released(CallName, Cause, Note, Report),
+    Released(CallName, Cause, RefusalNote, Report),
     /// The release of a set-up whose answer has not come, with a cause by which the call stood, or may have
     /// stood, at the hub: it is over there, and an answer may still come.
     ReleasedUnanswered(CallName, Cause, Report),
@@ -150,7 +150,7 @@
         began: bool,
     },
     /// The connection broke with this set-up open.
-    Broken(CallName, u64),
+    ConnectionLost(CallName, u64),
     /// No connection came up: the set-up never ran.
     Unreachable(CallName, u64),
     /// The set-up's time was up, or the hub drains, before its first byte: it never ran.
@@ -158,7 +158,7 @@
     /// The link ends as it was told to, its connections are closed, and all its set-ups are settled.
     Closed,
     /// The state of the hub.
-    State(Report),
+    LoadReport(Report),
     /// The hub's process is dead, and the calls that stood there are cut. Set-ups that were open are told of
     /// one by one, each as it was settled.
     Dead,
@@ -198,13 +198,13 @@
 
 /// News of the list of hubs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct HubListUpdate {
     /// The whole list, not only what has changed.
-    pub all: bool,
+    pub full: bool,
     /// The hubs named.
     pub hubs: Vec<Hub>,
     /// Since when this counts as told, at the earliest: it may have been in the change log for a while.
-    pub told: Micros,
+    pub effective_since: Micros,
     /// The change log's event; nought: of no change log.
     pub seq: u64,
 }
@@ -223,11 +223,11 @@
     /// Something from a hub.
     Hub(LinkId, FromHub),
     /// The program is to end: what is still open at this time is refused.
-    Stop(Micros),
+    Shutdown(Micros),
     /// News of the list.
-    List(News),
+    HubList(HubListUpdate),
     /// The change log was asked and has no more to tell than what came before this.
-    Current,
+    ChangeLogCurrent,
     /// The program is about to end: what is believed is to be handed out now.
-    Keep,
+    ExportState,
 }
--- a/src/iax2/cause.rs
+++ b/src/iax2/cause.rs
@@ -1,7 +1,7 @@
 //! The one table of how calls end, in IAX2's words: a Q.850 cause code and its text.
 
 use super::frame::{element, put, Elements};
-use crate::core::{Cause, Note};
+use crate::core::{Cause, RefusalNote};
 
 /// How a call, or an attempt, ends towards an IAX2 peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,15 +61,15 @@
 
 /// What a hub's REJECT or HANGUP means to the core. Without a code, a rejection is just that, and
 /// a hang-up is normal clearing.
-pub fn heard(elements: &Elements, rejected: bool) -> (Cause, Note) {
+pub fn heard(elements: &Elements, rejected: bool) -> (Cause, RefusalNote) {
     let code = elements.number(element::CAUSECODE).and_then(|c| u8::try_from(c).ok()).filter(|c| *c > 0);
     match code {
-        Some(17) => (Cause::BUSY, Note::Engaged),
-        Some(34) => (Cause::NO_CIRCUIT, Note::Congestion),
-        Some(42) => (Cause::NO_CIRCUIT, Note::Throttled),
-        Some(code) => (Cause(code), Note::None),
-        None if rejected => (Cause(21), Note::None),
-        None => (Cause::NORMAL, Note::None),
+        Some(17) => (Cause::BUSY, RefusalNote::NumberBusy),
+        Some(34) => (Cause::NO_CIRCUIT, RefusalNote::Congestion),
+        Some(42) => (Cause::NO_CIRCUIT, RefusalNote::Throttled),
+        Some(code) => (Cause(code), RefusalNote::None),
+        None if rejected => (Cause(21), RefusalNote::None),
+        None => (Cause::NORMAL, RefusalNote::None),
     }
 }
 
--- a/src/iax2/front.rs
+++ b/src/iax2/front.rs
@@ -199,7 +199,7 @@
             deadline: Some(call.deadline),
             repeat: false,
             returned: false,
-            description: Description { form: FORM, bytes: description.into() },
+            description: Description { format: FORM, bytes: description.into() },
         }));
         self.by_peer.insert((from, full.source), local);
         self.by_name.insert(name, local);
@@ -295,7 +295,7 @@
         let ending = match message {
             ToFront::Answer(_, _, description) => {
                 let elements = Elements::parse(&description.bytes).unwrap_or_default();
-                let told = elements.number(element::FORMAT).filter(|_| description.form == FORM);
+                let told = elements.number(element::FORMAT).filter(|_| description.format == FORM);
                 let format = told.filter(|f| f & call.formats != 0).unwrap_or(lowest(call.formats));
                 let mut data = Vec::new();
                 put(&mut data, element::FORMAT, &format.to_be_bytes());
--- a/src/iax2/hub.rs
+++ b/src/iax2/hub.rs
@@ -8,7 +8,7 @@
 use super::media::{Media, Stream};
 use super::session::{Session, Verdict};
 use super::{DEFAULT_FORMATS, FORM};
-use crate::core::{CallName, Cause, Clock, Description, FromHub, Input, LinkId, Note, SetUp, ToHub};
+use crate::core::{CallName, Cause, Clock, Description, FromHub, Input, LinkId, RefusalNote, SetUp, ToHub};
 use crate::interface::{Micros, Report};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io;
@@ -104,7 +104,7 @@
                 self.news.push(FromHub::GivenUp { attempt, call, began: true });
             }
             ToHub::Release(call, cause) => self.hang_up(now, call, Ending::Released(cause)),
-            ToHub::NotAfter(at) => self.not_after = at,
+            ToHub::SetUpCutoff(at) => self.not_after = at,
             ToHub::Media(call, description) => {
                 let local = self.by_name.get(&call);
                 let call = local.and_then(|l| self.calls.get_mut(l)).filter(|c| c.state == State::Standing);
@@ -122,7 +122,7 @@
         let out: Vec<(CallName, u64)> = out.map(|c| (c.name, c.attempt)).collect();
         for (call, attempt) in out {
             self.hang_up(now, call, Ending::GivenUp);
-            self.news.push(FromHub::Broken(call, attempt));
+            self.news.push(FromHub::ConnectionLost(call, attempt));
         }
         self.news.push(FromHub::Closed);
     }
@@ -134,7 +134,7 @@
         }
         let local = self.free_number();
         let described =
-            Elements::parse(&set_up.description.bytes).filter(|_| set_up.description.form == FORM);
+            Elements::parse(&set_up.description.bytes).filter(|_| set_up.description.format == FORM);
         let described = described.unwrap_or_default();
         let formats = described.number(element::CAPABILITY).unwrap_or(DEFAULT_FORMATS);
         let format = described.number(element::FORMAT).unwrap_or(lowest(formats));
@@ -220,8 +220,8 @@
         }
         let released = |cause, note| FromHub::Released(name, cause, note, Report::default());
         let over = match (verdict, full.kind, full.subclass) {
-            (Verdict::Unknown, ..) if state == State::Out => Some(FromHub::Broken(name, attempt)),
-            (Verdict::Unknown, ..) => Some(released(Cause::TEMPORARY_FAILURE, Note::None)),
+            (Verdict::Unknown, ..) if state == State::Out => Some(FromHub::ConnectionLost(name, attempt)),
+            (Verdict::Unknown, ..) => Some(released(Cause::TEMPORARY_FAILURE, RefusalNote::None)),
             (Verdict::Done, ..) => None,
             (_, kind::IAX, iax::ACCEPT) => {
                 let elements = Elements::parse(full.data).unwrap_or_default();
@@ -239,26 +239,26 @@
             // No credentials are held here.
             (_, kind::IAX, iax::AUTHREQ) => {
                 self.hang_up(now, name, Ending::GivenUp);
-                return self.news.push(released(Cause(21), Note::None));
+                return self.news.push(released(Cause(21), RefusalNote::None));
             }
             (_, kind::CONTROL, control::ANSWER) if state == State::Out => {
                 call.state = State::Standing;
                 let mut bytes = Vec::new();
                 put(&mut bytes, element::FORMAT, &call.format.to_be_bytes());
-                self.news.push(FromHub::Stands(name, Description { form: FORM, bytes: bytes.into() }));
+                self.news.push(FromHub::Answered(name, Description { format: FORM, bytes: bytes.into() }));
                 None
             }
             (_, kind::CONTROL, said @ (control::BUSY | control::CONGESTION)) if state == State::Out => {
                 self.hang_up(now, name, Ending::GivenUp);
-                let busy = (Cause::BUSY, Note::Engaged);
+                let busy = (Cause::BUSY, RefusalNote::NumberBusy);
                 let (cause, note) =
-                    if said == control::BUSY { busy } else { (Cause::NO_CIRCUIT, Note::Congestion) };
+                    if said == control::BUSY { busy } else { (Cause::NO_CIRCUIT, RefusalNote::Congestion) };
                 return self.news.push(released(cause, note));
             }
             (_, kind::CONTROL, control::HANGUP) => {
                 self.hang_up(now, name, Ending::GivenUp);
                 let cause = if state == State::Out { Cause(21) } else { Cause::NORMAL };
-                return self.news.push(released(cause, Note::None));
+                return self.news.push(released(cause, RefusalNote::None));
             }
             (_, kind::VOICE | kind::DTMF, _) => {
                 let media = call.media.hear(&Frame::Full(*full));
@@ -288,12 +288,12 @@
             let lost = call.session.tick(now, &mut self.out).is_err();
             match call.state {
                 State::Out if lost => {
-                    self.news.push(FromHub::Broken(call.name, call.attempt));
+                    self.news.push(FromHub::ConnectionLost(call.name, call.attempt));
                     over.push(*local);
                 }
                 State::Standing if lost => {
                     let cause = Cause::TEMPORARY_FAILURE;
-                    self.news.push(FromHub::Released(call.name, cause, Note::None, Report::default()));
+                    self.news.push(FromHub::Released(call.name, cause, RefusalNote::None, Report::default()));
                     over.push(*local);
                 }
                 State::Over(until) if lost || now >= until && call.session.settled() => over.push(*local),
@@ -341,7 +341,7 @@
     pub fn refused(&mut self) {
         for call in std::mem::take(&mut self.calls).into_values() {
             if call.state == State::Out {
-                self.news.push(FromHub::Broken(call.name, call.attempt));
+                self.news.push(FromHub::ConnectionLost(call.name, call.attempt));
             }
         }
         self.by_name.clear();
--- a/src/iax2/media.rs
+++ b/src/iax2/media.rs
@@ -29,13 +29,13 @@
         bytes.put_u32(self.subclass);
         bytes.put_u32(self.timestamp);
         bytes.put(&self.data[..]);
-        Description { form: FORM, bytes: bytes.freeze() }
+        Description { format: FORM, bytes: bytes.freeze() }
     }
 
     /// Out of the core; `None`: it comes from another protocol, and media does not cross.
     pub fn from_core(description: &Description) -> Option<Media> {
         let mut bytes = description.bytes.clone();
-        if description.form != FORM || bytes.len() < 9 {
+        if description.format != FORM || bytes.len() < 9 {
             return None;
         }
         let (kind, subclass, timestamp) = (bytes.get_u8(), bytes.get_u32(), bytes.get_u32());
--- a/src/learning/form.rs
+++ b/src/learning/encoding.rs
@@ -1,7 +1,7 @@
-//! The form of a [`Picture`] on disk: JSON in a snapshot, one module a version. A new version adds a module and
+//! The form of a [`LearnedState`] on disk: JSON in a snapshot, one module a version. A new version adds a module and
 //! a step from the one before; what stands is not touched. `docs/FORMAT.md` describes each.
 
-use super::{Identity, Kept, Picture};
+use super::{Identity, LearnedHub, LearnedState};
 use crate::interface::{Belief, Micros};
 use miniserde::{json, Deserialize, Serialize};
 
@@ -97,8 +97,8 @@
         }
     }
 
-    impl From<&Kept> for Hub {
-        fn from(kept: &Kept) -> Hub {
+    impl From<&LearnedHub> for Hub {
+        fn from(kept: &LearnedHub) -> Hub {
             let (hub, b) = (&kept.hub, &kept.belief);
             Hub {
                 uid: hub.uid.to_string(),
@@ -121,8 +121,8 @@
         }
     }
 
-    impl From<Hub> for Kept {
-        fn from(h: Hub) -> Kept {
+    impl From<Hub> for LearnedHub {
+        fn from(h: Hub) -> LearnedHub {
             let hub = Identity {
                 uid: h.uid.into(),
                 endpoint: h.endpoint.into(),
@@ -143,7 +143,7 @@
                 silent: h.silent,
                 cold_until: Micros(h.cold_until),
             };
-            Kept { hub, belief }
+            LearnedHub { hub, belief }
         }
     }
 }
@@ -151,7 +151,7 @@
 use v2 as latest;
 
 /// Writes a picture in the latest form.
-pub fn encode(picture: &Picture) -> Vec<u8> {
+pub fn encode(picture: &LearnedState) -> Vec<u8> {
     let hubs = picture.hubs.iter().map(latest::Hub::from).collect();
     json::to_string(&latest::Form { at: picture.at.0, hold: picture.hold, hubs }).into_bytes()
 }
@@ -160,7 +160,7 @@
 ///
 /// # Errors
 /// What is wrong with it, where it is of a later version or no such JSON.
-pub fn decode(version: u16, payload: &[u8]) -> Result<Picture, String> {
+pub fn decode(version: u16, payload: &[u8]) -> Result<LearnedState, String> {
     let text = std::str::from_utf8(payload).map_err(|_| "its payload is no text".to_string())?;
     let wrong = |_| format!("its payload is not of version {version}");
     let form: latest::Form = match version {
@@ -168,9 +168,9 @@
         2 => json::from_str(text).map_err(wrong)?,
         later => return Err(format!("its payload is of the later version {later}")),
     };
-    Ok(Picture {
+    Ok(LearnedState {
         at: Micros(form.at),
         hold: form.hold,
-        hubs: form.hubs.into_iter().map(Kept::from).collect(),
+        hubs: form.hubs.into_iter().map(LearnedHub::from).collect(),
     })
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,7 +5,7 @@
 use clap::Parser;
 use petreldock::cli::{self, Arguments, Command};
 use petreldock::config::{Config, ConfigError, Iax2Hub, State};
-use petreldock::core::{self, Clock, Core, Figures, FrontId, Hub, Input, Status};
+use petreldock::core::{self, Clock, Core, FrontId, Hub, Input, LoadFigures, Status};
 use petreldock::fleet::task;
 use petreldock::iax2;
 use petreldock::interface::{Micros, Phase};
@@ -119,8 +119,8 @@
     let listen = listener.local_addr()?;
 
     let clock = Clock::system();
-    let (inputs, queue) = mpsc::channel(core::QUEUE);
-    let (answers, to_front) = mpsc::channel(core::ANSWERS);
+    let (inputs, queue) = mpsc::channel(core::INPUT_QUEUE_CAPACITY);
+    let (answers, to_front) = mpsc::channel(core::FRONT_QUEUE_CAPACITY);
     let (status, watched) = watch::channel(Status::default());
     let operator = &config.operator;
     let owed = Owed::default();
@@ -135,7 +135,7 @@
     };
     let mut fronts = vec![answers];
     if let Some(listen) = operator.iax2_listen {
-        let (answers, to_front) = mpsc::channel(core::ANSWERS);
+        let (answers, to_front) = mpsc::channel(core::FRONT_QUEUE_CAPACITY);
         fronts.push(answers);
         let named = |e: io::Error| io::Error::new(e.kind(), format!("iax2.listen: {listen}: {e}"));
         let socket = UdpSocket::bind(listen).await.map_err(named)?;
@@ -151,8 +151,8 @@
     };
     let fleet = match &operator.fleet {
         Some(fleet) => {
-            let (figures, latest) = watch::channel(Figures::default());
-            core.tell_figures(figures);
+            let (figures, latest) = watch::channel(LoadFigures::default());
+            core.publish_load(figures);
             // Kept alive to the end: who stands in the fleet is for later parts.
             Some(task::start(fleet, &config.name, config.seed, clock, latest).await?)
         }
@@ -169,7 +169,7 @@
         phase: Phase::Up,
         born: None,
     };
-    core.fix(clock.now(), operator.iax2_hubs.iter().map(iax2_hub).collect());
+    core.add_configured_hubs(clock.now(), operator.iax2_hubs.iter().map(iax2_hub).collect());
     tokio::spawn(core::run(core, queue, clock));
     let (change_log, addresses) = watch::channel(config.change_log);
     tokio::spawn(feed::run(addresses, seq, config.seed, clock, inputs.clone()));
@@ -214,10 +214,10 @@
         )
     })?;
     if let Some(memory) = kept.memory.take() {
-        core.recollect(memory);
+        core.restore(memory);
     }
     let (pictures, latest) = watch::channel(None);
-    core.keep(pictures, state.interval, clock.now());
+    core.export_state(pictures, state.interval, clock.now());
     let (saved, last) = watch::channel(Micros(0));
     tokio::spawn(state::run(kept, latest, saved));
     Ok(last)
@@ -226,7 +226,7 @@
 /// Has what is known at a planned end written, within a bounded time.
 async fn hand_over(inputs: mpsc::Sender<Input>, clock: Clock, mut saved: watch::Receiver<Micros>) {
     let from = clock.now();
-    if inputs.send(Input::Keep).await.is_ok() {
+    if inputs.send(Input::ExportState).await.is_ok() {
         let written = saved.wait_for(|at| *at >= from);
         if tokio::time::timeout(HAND_OVER, written).await.is_err() {
             tracing::warn!("state: the last of what was learnt is not written in time");
@@ -265,7 +265,7 @@
     tracing::info!("ending");
     let end = Instant::now() + ending.over;
     let by = clock.now() + Micros(ending.refused.as_micros() as u64);
-    let _ = inputs.send(Input::Stop(by)).await;
+    let _ = inputs.send(Input::Shutdown(by)).await;
     sleep(STAY.min(ending.over)).await;
     // Danger: an answer that the core has given is not one that the caller has: where the processor is short
     // it may still wait to be written, and would be lost. So would a request that waits in a socket: what is
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -4,7 +4,7 @@
 use super::dial::dial;
 use super::http;
 use crate::config::{self, At, Changes};
-use crate::core::{Clock, Hub, Input, News};
+use crate::core::{Clock, Hub, HubListUpdate, Input};
 use crate::interface::Micros;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -84,7 +84,7 @@
             born: t.born,
         });
         let (all, hubs, seq) = (event.all, hubs.collect(), event.seq);
-        inputs.push(Input::List(News { all, hubs, told, seq }));
+        inputs.push(Input::HubList(HubListUpdate { full: all, hubs, effective_since: told, seq }));
     }
     *seq = changes.seq.max(*seq);
     inputs
@@ -129,7 +129,7 @@
                 let mut news = inputs(changes, &mut seq, horizon.answered(asked, began));
                 if hold.is_zero() {
                     hold = HOLD;
-                    news.push(Input::Current);
+                    news.push(Input::ChangeLogCurrent);
                 }
                 for input in news {
                     if core.send(input).await.is_err() {
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -222,7 +222,7 @@
                     }
                 }
             }
-            ToHub::NotAfter(at) => self.not_after = at,
+            ToHub::SetUpCutoff(at) => self.not_after = at,
             // A call that crosses protocols carries no media.
             ToHub::Media(..) | ToHub::Close => {}
         }
@@ -645,7 +645,7 @@
         let mut open: Vec<_> = open.into_iter().collect();
         open.sort_by_key(|(_, begun)| begun.at);
         let begun: Vec<u64> = open.iter().map(|(_, begun)| begun.attempt).collect();
-        self.news.extend(open.into_iter().map(|(call, begun)| FromHub::Broken(call, begun.attempt)));
+        self.news.extend(open.into_iter().map(|(call, begun)| FromHub::ConnectionLost(call, begun.attempt)));
         let left = staged.into_iter().map(|(_, out)| out).chain(queue);
         left.filter(|out| !matches!(out, Out::SetUp(s) if begun.contains(&s.attempt))).collect()
     }
--- a/src/net/hub/connection.rs
+++ b/src/net/hub/connection.rs
@@ -163,7 +163,7 @@
                     (code::DESCRIPTION, &s.description.bytes[..]),
                 ];
                 // A caller of another protocol describes nothing that a table hub could use.
-                let count = if s.description.form == SDP { 4 } else { 3 };
+                let count = if s.description.format == SDP { 4 } else { 3 };
                 binary::write(&mut self.output, kind::SET_UP, s.call.0, &parameters[..count])
             }
             Out::GiveUp(call, _) => release(&mut self.output, *call, Cause::NORMAL),
--- a/src/net/hub/messages.rs
+++ b/src/net/hub/messages.rs
@@ -1,7 +1,7 @@
 //! What one message of a table hub means for its connection, and for the core.
 
 use super::connection::{Connection, Out};
-use crate::core::{CallName, Cause, Description, FromHub, Note};
+use crate::core::{CallName, Cause, Description, FromHub, RefusalNote};
 use crate::interface::Report;
 use crate::net::binary::{code, kind, Message};
 use crate::net::SDP;
@@ -41,17 +41,17 @@
                 standing.insert(call, connection.id);
             }
             let bytes = Bytes::copy_from_slice(message.parameter(code::DESCRIPTION).unwrap_or_default());
-            news.push(FromHub::Stands(call, Description { form: SDP, bytes }));
+            news.push(FromHub::Answered(call, Description { format: SDP, bytes }));
             begun.map(|b| b.at)
         }
         kind::RELEASE => {
             let open = connection.open.remove(&call).is_some();
             let stood = standing.remove(&call).is_some();
             let note = match message.text(code::NOTE) {
-                Some("congestion") => Note::Congestion,
-                Some("throttled") => Note::Throttled,
-                Some("engaged") => Note::Engaged,
-                _ => Note::None,
+                Some("congestion") => RefusalNote::Congestion,
+                Some("throttled") => RefusalNote::Throttled,
+                Some("engaged") => RefusalNote::NumberBusy,
+                _ => RefusalNote::None,
             };
             let cause = message.cause().map_or(Cause::TEMPORARY_FAILURE, Cause);
             tracing::debug!(%call, connection = connection.id, cause = cause.0, open, stood, "release");
@@ -70,7 +70,7 @@
         kind::STATE | kind::TESTED => {
             let report = message.report();
             if report != Report::default() {
-                news.push(FromHub::State(report));
+                news.push(FromHub::LoadReport(report));
             }
             None
         }
--- a/src/net/sip_server/connection/messages.rs
+++ b/src/net/sip_server/connection/messages.rs
@@ -30,7 +30,7 @@
             ("ACK", _) => {}
             ("OPTIONS", _) => {
                 let status = *self.server.status.borrow();
-                match status.settled && !status.stopping {
+                match status.ready && !status.stopping {
                     true => self.respond((200, "OK"), &headers, &[], &[]),
                     false => self.respond((503, "Service Unavailable"), &headers, &[], &[]),
                 }
@@ -99,7 +99,7 @@
             deadline: within.map(|ms| arrived + Micros(ms.saturating_mul(1000))),
             repeat: message.header("Repeat-Mark").is_some_and(|v| v == "1"),
             returned: figure("again") == Some("1"),
-            description: Description { form: SDP, bytes: Bytes::copy_from_slice(message.body) },
+            description: Description { format: SDP, bytes: Bytes::copy_from_slice(message.body) },
         })
     }
 
@@ -113,7 +113,7 @@
                     let contact = format!("<sip:petreldock@{}>", self.server.listen);
                     let more = [("Contact", &*contact), ("Content-Type", SDP)];
                     // A hub of another protocol describes nothing that a SIP caller could use.
-                    match description.form == SDP {
+                    match description.format == SDP {
                         true => self.respond((200, "OK"), &open.headers, &more, &description.bytes),
                         false => self.respond((200, "OK"), &open.headers, &more[..1], &[]),
                     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -7,7 +7,7 @@
 
 use crate::config::State;
 use crate::interface::Micros;
-use crate::learning::{self, Memory, Picture};
+use crate::learning::{self, LearnedState, RestoredState};
 use crate::store::{Disk, Folder, Header, Loaded, OpenError, Snapshots};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -31,7 +31,7 @@
 }
 
 /// Reads a payload, as [`Snapshots::load`] wants it.
-pub fn accept(header: Header, payload: &[u8]) -> Result<Picture, String> {
+pub fn accept(header: Header, payload: &[u8]) -> Result<LearnedState, String> {
     learning::decode(header.version, payload)
 }
 
@@ -61,7 +61,7 @@
         Ok(Some(loaded))
     }
 
-    fn save(&mut self, picture: &Picture) -> Result<(), OpenError> {
+    fn save(&mut self, picture: &LearnedState) -> Result<(), OpenError> {
         // A folder that was not to be had at the start may be there by now; what it holds is old.
         self.open()?;
         let Some(disk) = &mut self.disk else { return Ok(()) };
@@ -74,12 +74,12 @@
 /// What the start found, and the task that goes on from there.
 pub struct Kept {
     /// What may be recalled.
-    pub memory: Option<Memory>,
+    pub memory: Option<RestoredState>,
     keeper: Opening,
 }
 
 /// What was found, once: `None` where the folder was had before.
-type Opened = Result<Option<Loaded<Picture>>, OpenError>;
+type Opened = Result<Option<Loaded<LearnedState>>, OpenError>;
 
 enum Opening {
     Done(Keeper),
@@ -113,11 +113,11 @@
     Ok(Kept { memory, keeper: Opening::Done(keeper) })
 }
 
-fn take_up(loaded: Loaded<Picture>, state: &State, now: Micros) -> Option<Memory> {
+fn take_up(loaded: Loaded<LearnedState>, state: &State, now: Micros) -> Option<RestoredState> {
     let picture = loaded.found?;
     let age = (now - picture.at).secs();
-    let (memory, taken) = Memory::new(picture, state.ageing.clone(), now);
-    let what = match (taken.future, taken.old) {
+    let (memory, taken) = RestoredState::new(picture, state.ageing.clone(), now);
+    let what = match (taken.from_future, taken.too_old) {
         (true, _) => "none used: it claims to be from the future",
         (_, true) => "none used: it is too old",
         _ => "recalled",
@@ -131,7 +131,7 @@
 /// last one that lasts.
 pub async fn run(
     kept: Kept,
-    mut pictures: watch::Receiver<Option<Arc<Picture>>>,
+    mut pictures: watch::Receiver<Option<Arc<LearnedState>>>,
     saved: watch::Sender<Micros>,
 ) {
     let mut keeper = match kept.keeper {
@@ -205,5 +205,5 @@
     /// A start would look at it; else it was set aside.
     pub used: bool,
     /// What it holds, or what is wrong with it.
-    pub read: Result<(Header, Picture), String>,
+    pub read: Result<(Header, LearnedState), String>,
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -7,7 +7,7 @@
 use petreldock::config::Config;
 use petreldock::core::*;
 use petreldock::interface::*;
-use petreldock::learning::{Ageing, Identity, Kept, Memory, Picture};
+use petreldock::learning::{DecaySettings, Identity, LearnedHub, LearnedState, RestoredState};
 use petreldock::net::feed;
 use std::sync::{Arc, Mutex};
 use tokio::sync::{mpsc, watch};
@@ -34,8 +34,8 @@
 }
 
 /// News that count as told when they come.
-fn list(all: bool, hubs: Vec<Hub>) -> Input {
-    Input::List(News { all, hubs, told: Micros(u64::MAX), seq: 0 })
+fn list(full: bool, hubs: Vec<Hub>) -> Input {
+    Input::HubList(HubListUpdate { full, hubs, effective_since: Micros(u64::MAX), seq: 0 })
 }
 
 impl Desk {
@@ -100,7 +100,7 @@
             deadline,
             repeat: false,
             returned: false,
-            description: Description { form: "test", bytes: Bytes::copy_from_slice(body) },
+            description: Description { format: "test", bytes: Bytes::copy_from_slice(body) },
         }));
     }
 
@@ -113,12 +113,12 @@
         self.tell(Input::Hub(link, from));
     }
 
-    fn released(&mut self, link: usize, call: u64, cause: u8, note: Note) {
+    fn released(&mut self, link: usize, call: u64, cause: u8, note: RefusalNote) {
         self.hear(link, FromHub::Released(CallName(call), Cause(cause), note, Report::default()));
     }
 
     fn stands(&mut self, link: usize, call: u64) {
-        self.hear(link, FromHub::Stands(CallName(call), Description::default()));
+        self.hear(link, FromHub::Answered(CallName(call), Description::default()));
     }
 
     fn command(&mut self, link: usize) -> Option<ToHub> {
@@ -143,16 +143,16 @@
     let mut desk = Desk::new();
     desk.offer(1, 0);
     assert!(desk.set_up(0).is_some() && desk.set_up(1).is_none());
-    desk.released(0, 1, 34, Note::Throttled);
+    desk.released(0, 1, 34, RefusalNote::Throttled);
     assert!(desk.set_up(1).is_some(), "a refusal never ran: the next try needs no pause");
     desk.stands(1, 1);
     assert!(matches!(desk.said(), Some(ToFront::Answer(Origin(5), CallName(1), _))));
     desk.stands(1, 1);
     desk.pass(4 * SECOND);
     assert!(desk.said().is_none(), "one answer, and no deadline once it stands");
-    desk.released(1, 1, 16, Note::None);
+    desk.released(1, 1, 16, RefusalNote::None);
     assert!(matches!(desk.said(), Some(ToFront::Release(Some(Origin(5)), CallName(1), Cause(16)))));
-    desk.released(1, 1, 16, Note::None);
+    desk.released(1, 1, 16, RefusalNote::None);
     assert!(desk.said().is_none(), "a release that the hub repeats is passed on once");
     assert_eq!(desk.core.open_calls(), 0);
 }
@@ -208,7 +208,7 @@
     let mut desk = Desk::new();
     desk.offer(1, 0);
     let attempt = desk.set_up(0).expect("sent");
-    desk.hear(0, FromHub::Broken(CallName(1), attempt));
+    desk.hear(0, FromHub::ConnectionLost(CallName(1), attempt));
     desk.pass(195_000);
     assert!(desk.set_up(0).is_none() && desk.set_up(1).is_none());
     desk.pass(10_000);
@@ -231,7 +231,7 @@
     let mut desk = Desk::new();
     desk.tell(list(false, vec![hub("b", "10.0.0.2:1", 1, Phase::Draining)]));
     let until = Micros(desk.now + 2 * SECOND);
-    assert!(matches!(desk.command(1), Some(ToHub::NotAfter(Some(t))) if t == until));
+    assert!(matches!(desk.command(1), Some(ToHub::SetUpCutoff(Some(t))) if t == until));
     desk.pass(2 * SECOND);
     for call in 0..20 {
         desk.offer(call, 1);
@@ -257,7 +257,7 @@
     let links = desk.links.lock().expect("lock");
     assert_eq!((links.len(), &*links[2].endpoint), (3, "10.0.0.1:1"));
     drop(links);
-    desk.released(0, 9, 16, Note::None);
+    desk.released(0, 9, 16, RefusalNote::None);
     assert!(desk.said().is_none(), "the closed link is heard no more");
 }
 
@@ -275,7 +275,7 @@
     assert!(matches!(desk.said(), Some(ToFront::Release(_, CallName(2), Cause(41)))));
     desk.pass(SECOND / 2);
     assert!(desk.set_up(0).or(desk.set_up(1)).is_none(), "no second copy while the first may still run");
-    desk.hear(0, FromHub::Broken(CallName(1), open));
+    desk.hear(0, FromHub::ConnectionLost(CallName(1), open));
     desk.pass(SECOND / 2);
     assert!(desk.set_up(0).or(desk.set_up(1)).is_some());
 }
@@ -286,12 +286,12 @@
     desk.offer(1, 0);
     let attempt = desk.set_up(0).expect("sent");
     desk.tell(list(false, vec![hub("a", "", 0, Phase::Gone)]));
-    assert!(matches!(desk.command(0), Some(ToHub::NotAfter(_)) | Some(ToHub::Close)));
+    assert!(matches!(desk.command(0), Some(ToHub::SetUpCutoff(_)) | Some(ToHub::Close)));
     desk.pass(SECOND / 2);
     assert!(desk.command(1).is_none(), "no second copy while the first may still run");
     desk.stands(0, 1);
     assert!(desk.said().is_none(), "nor is anything else believed of a link that closes");
-    desk.hear(0, FromHub::Broken(CallName(1), attempt));
+    desk.hear(0, FromHub::ConnectionLost(CallName(1), attempt));
     desk.hear(0, FromHub::Closed);
     desk.pass(SECOND / 10);
     assert!(desk.command(1).is_none(), "the pause");
@@ -309,8 +309,13 @@
     let mut desk = Desk::new();
     let told = Micros(START - SECOND);
     let hubs = vec![hub("b", "10.0.0.2:1", 1, Phase::Draining)];
-    desk.tell(Input::List(News { all: false, hubs: hubs.clone(), told, seq: 0 }));
-    assert!(matches!(desk.command(1), Some(ToHub::NotAfter(Some(t))) if t == told + Micros(2 * SECOND)));
+    desk.tell(Input::HubList(HubListUpdate {
+        full: false,
+        hubs: hubs.clone(),
+        effective_since: told,
+        seq: 0,
+    }));
+    assert!(matches!(desk.command(1), Some(ToHub::SetUpCutoff(Some(t))) if t == told + Micros(2 * SECOND)));
     desk.pass(SECOND / 2);
     desk.tell(list(false, hubs));
     assert!(desk.command(1).is_none(), "told again, it counts from the first time");
@@ -329,16 +334,16 @@
 #[test]
 fn a_test_is_passed_once_the_change_log_was_heard() {
     let mut desk = Desk::with(|config| config.change_log = "10.0.0.9:1".parse().ok());
-    desk.hear(0, FromHub::State(Report::default()));
-    desk.hear(1, FromHub::State(Report::default()));
+    desk.hear(0, FromHub::LoadReport(Report::default()));
+    desk.hear(1, FromHub::LoadReport(Report::default()));
     desk.pass(SECOND / 2);
-    assert!(!desk.status.borrow().settled, "a drain may stand there that the start's list lacks");
-    desk.tell(Input::Current);
+    assert!(!desk.status.borrow().ready, "a drain may stand there that the start's list lacks");
+    desk.tell(Input::ChangeLogCurrent);
     desk.pass(10_000);
-    assert!(desk.status.borrow().settled);
+    assert!(desk.status.borrow().ready);
     let mut silent = Desk::with(|config| config.change_log = "10.0.0.9:1".parse().ok());
     silent.pass(SECOND + 10_000);
-    assert!(silent.status.borrow().settled, "one that cannot be reached keeps nobody out for ever");
+    assert!(silent.status.borrow().ready, "one that cannot be reached keeps nobody out for ever");
 }
 
 /// Each way in which an attempt can end, for each effect: whether the call is sent again, when, and how it
@@ -349,15 +354,15 @@
     let attempt = 1;
     let given_up = |began| FromHub::GivenUp { attempt, call: CallName(1), began };
     let ends = [
-        (released(34, Note::Congestion), false, false),
-        (released(34, Note::Throttled), false, false),
+        (released(34, RefusalNote::Congestion), false, false),
+        (released(34, RefusalNote::Throttled), false, false),
         (FromHub::Unreachable(CallName(1), attempt), false, false),
         (FromHub::NotSent(CallName(1), attempt), false, false),
         (given_up(false), false, false),
-        (released(17, Note::None), true, false),
-        (released(47, Note::None), true, false),
-        (released(41, Note::None), true, true),
-        (FromHub::Broken(CallName(1), attempt), true, true),
+        (released(17, RefusalNote::None), true, false),
+        (released(47, RefusalNote::None), true, false),
+        (released(41, RefusalNote::None), true, true),
+        (FromHub::ConnectionLost(CallName(1), attempt), true, true),
         (given_up(true), true, true),
     ];
     for effect in [Effect::Free, Effect::Guarded, Effect::SingleShot] {
@@ -379,7 +384,7 @@
             }
         }
         // Moot, or too late for its first byte: nothing ran, and it may be refused.
-        for end in [released(102, Note::None), FromHub::NotSent(CallName(1), attempt)] {
+        for end in [released(102, RefusalNote::None), FromHub::NotSent(CallName(1), attempt)] {
             let late = matches!(end, FromHub::NotSent(..));
             let mut desk = Desk::with(|config| config.settings.classes[0].effect = effect);
             desk.offer(1, 0);
@@ -424,9 +429,9 @@
 #[test]
 fn a_release_of_an_unknown_call_is_passed_on_once() {
     let mut desk = Desk::new();
-    desk.released(0, 77, 16, Note::None);
+    desk.released(0, 77, 16, RefusalNote::None);
     assert!(matches!(desk.said(), Some(ToFront::Release(None, CallName(77), Cause(16)))));
-    desk.released(1, 77, 16, Note::None);
+    desk.released(1, 77, 16, RefusalNote::None);
     assert!(desk.said().is_none());
 }
 
@@ -483,9 +488,9 @@
 fn a_stop_refuses_what_is_left_at_its_time() {
     let mut desk = Desk::new();
     desk.offer(1, 0);
-    desk.tell(Input::Stop(Micros(desk.now + SECOND / 2)));
+    desk.tell(Input::Shutdown(Micros(desk.now + SECOND / 2)));
     desk.pass(5_000);
-    assert_eq!(*desk.status.borrow(), Status { settled: false, stopping: true, unanswered: 1 });
+    assert_eq!(*desk.status.borrow(), Status { ready: false, stopping: true, unanswered: 1 });
     desk.pass(SECOND / 2);
     assert!(matches!(desk.said(), Some(ToFront::Refuse(_, CallName(1), _))));
     desk.pass(5_000);
@@ -504,7 +509,7 @@
     assert!(matches!(desk.said(), Some(ToFront::Answer(_, CallName(1), _))));
     desk.offer_with(4, 0, &body);
     assert!(desk.said().is_none(), "a call that stands needs its description no more");
-    desk.released(0, 2, 17, Note::Engaged);
+    desk.released(0, 2, 17, RefusalNote::NumberBusy);
     assert!(matches!(desk.said(), Some(ToFront::Fail(..) | ToFront::Refuse(..))));
     desk.offer_with(5, 0, &body);
     assert!(desk.said().is_none(), "nor does one that is over");
@@ -517,7 +522,7 @@
     desk.tell(list(true, hubs));
     desk.pass(SECOND + 15_000);
     assert!(latest.borrow().is_none(), "it is being gathered");
-    desk.tell(Input::Keep);
+    desk.tell(Input::ExportState);
     let picture = latest.borrow().clone().expect("whole");
     let names: std::collections::BTreeSet<_> = picture.hubs.iter().map(|k| k.hub.uid.clone()).collect();
     assert_eq!((picture.hubs.len(), names.len()), (1000, 1000));
@@ -526,33 +531,33 @@
 #[test]
 fn hubs_of_the_operators_file_are_kept_where_no_list_ever_comes() {
     let (mut desk, latest) = keeping(None);
-    desk.core.fix(Micros(START), vec![hub("desk", "iax2:10.0.0.8:4569", 0, Phase::Up)]);
-    desk.tell(Input::Keep);
+    desk.core.add_configured_hubs(Micros(START), vec![hub("desk", "iax2:10.0.0.8:4569", 0, Phase::Up)]);
+    desk.tell(Input::ExportState);
     assert_eq!(latest.borrow().as_ref().expect("handed out").hubs.len(), 1);
 }
 
 /// A core with pictures every second, which has heard no list yet, and recalls something if it is given.
-fn keeping(memory: Option<Memory>) -> (Desk, watch::Receiver<Option<Arc<Picture>>>) {
+fn keeping(memory: Option<RestoredState>) -> (Desk, watch::Receiver<Option<Arc<LearnedState>>>) {
     let mut desk = Desk::with(|config| config.known.events.clear());
     let (pictures, latest) = watch::channel(None);
-    desk.core.keep(pictures, Micros(SECOND), Micros(START));
+    desk.core.export_state(pictures, Micros(SECOND), Micros(START));
     if let Some(memory) = memory {
-        desk.core.recollect(memory);
+        desk.core.restore(memory);
     }
     (desk, latest)
 }
 
-fn kept(uid: &str, endpoint: &str, place: i64) -> Kept {
+fn kept(uid: &str, endpoint: &str, place: i64) -> LearnedHub {
     let hub = Identity { uid: uid.into(), endpoint: endpoint.into(), place, born: None };
     let belief = Belief { heard: Micros(START - SECOND), pass: 0.1, carries: 3.0, ..Belief::default() };
-    Kept { hub, belief }
+    LearnedHub { hub, belief }
 }
 
 #[test]
 fn pictures_are_handed_out_after_the_first_list_a_few_hubs_at_a_tick() {
     let (mut desk, mut latest) = keeping(None);
     desk.pass(5 * SECOND);
-    desk.tell(Input::Keep);
+    desk.tell(Input::ExportState);
     assert!(latest.borrow_and_update().is_none(), "nothing is known before the first list");
     let hubs = (0..1000).map(|n| hub(&format!("h-{n}"), "10.0.0.9:1", n, Phase::Up)).collect();
     desk.tell(list(true, hubs));
@@ -566,20 +571,20 @@
     desk.tell(list(false, vec![hub("h-3", "", 3, Phase::Gone)]));
     desk.pass(900_000);
     assert!(!latest.has_changed().expect("open"));
-    desk.tell(Input::Keep);
+    desk.tell(Input::ExportState);
     assert_eq!(latest.borrow_and_update().as_ref().expect("at once").hubs.len(), 999);
 }
 
 #[test]
 fn what_was_kept_is_recalled_for_the_same_hub_and_kept_on_for_one_not_named_yet() {
     let hubs = vec![kept("a", "10.0.0.1:1", 0), kept("b", "10.0.0.7:1", 1), kept("late", "10.0.0.3:1", 2)];
-    let picture = Picture { at: Micros(START - SECOND), hold: 5.0, hubs };
-    let memory = Memory::new(picture, Ageing::default(), Micros(START)).0;
+    let picture = LearnedState { at: Micros(START - SECOND), hold: 5.0, hubs };
+    let memory = RestoredState::new(picture, DecaySettings::default(), Micros(START)).0;
     let (mut desk, latest) = keeping(Some(memory));
     // b has another address by now: another machine.
     desk.tell(list(true, vec![hub("a", "10.0.0.1:1", 0, Phase::Up), hub("b", "10.0.0.2:1", 1, Phase::Up)]));
-    desk.tell(Input::Keep);
-    let now_kept = |latest: &watch::Receiver<Option<Arc<Picture>>>, uid: &str| {
+    desk.tell(Input::ExportState);
+    let now_kept = |latest: &watch::Receiver<Option<Arc<LearnedState>>>, uid: &str| {
         let picture = latest.borrow().clone().expect("handed out");
         picture.hubs.iter().find(|k| &*k.hub.uid == uid).map(|k| (k.belief.pass, k.belief.heard))
     };
@@ -590,11 +595,11 @@
     assert_eq!(now_kept(&latest, "late"), Some((0.1, Micros(START - SECOND))));
     // A list that names it later finds it; one that leaves and comes back does not find it again.
     desk.tell(list(false, vec![hub("late", "10.0.0.3:1", 2, Phase::Up)]));
-    desk.tell(Input::Keep);
+    desk.tell(Input::ExportState);
     assert!(now_kept(&latest, "late").expect("kept").0 < 0.2);
     desk.tell(list(false, vec![hub("late", "10.0.0.3:1", 2, Phase::Gone)]));
     desk.tell(list(false, vec![hub("late", "10.0.0.3:1", 2, Phase::Up)]));
-    desk.tell(Input::Keep);
+    desk.tell(Input::ExportState);
     assert_eq!(now_kept(&latest, "late"), Some((1.0, Micros(0))));
 }
 
@@ -628,8 +633,8 @@
         desk.set_up(0).expect("at a");
         desk.set_up(0).expect("at a");
         // A planned end comes while one is out and one waits for its pause to pass.
-        desk.tell(Input::Stop(Micros(desk.now + 100_000)));
-        desk.hear(0, FromHub::Broken(CallName(2), 2));
+        desk.tell(Input::Shutdown(Micros(desk.now + 100_000)));
+        desk.hear(0, FromHub::ConnectionLost(CallName(2), 2));
         desk.pass(150_000);
         let mut said = Vec::new();
         while let Some(message) = desk.said() {
@@ -690,7 +695,7 @@
         })
     };
     let gone = |call: u64, origin: u64| Input::Withdrawn(FrontId(0), Origin(origin), CallName(call));
-    let (inputs, queue) = mpsc::channel(QUEUE);
+    let (inputs, queue) = mpsc::channel(INPUT_QUEUE_CAPACITY);
     // All of it is there before the core looks. The second is withdrawn by one that does not own it; the third
     // is withdrawn and then comes again.
     for input in [offer(1, 5), offer(2, 5), offer(3, 5), gone(1, 5), gone(2, 9), gone(3, 5), offer(3, 5)] {
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -3,7 +3,7 @@
 #[path = "common/site.rs"]
 mod site;
 
-use petreldock::core::{Clock, Input, News};
+use petreldock::core::{Clock, HubListUpdate, Input};
 use petreldock::net::feed;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -70,10 +70,12 @@
     assert!(news.try_recv().is_err());
     whole.write_all(answer.as_bytes()).await.expect("written");
     let input = timeout(PATIENCE, news.recv()).await.expect("in time");
-    let Some(Input::List(News { all: false, hubs, told, .. })) = input else { panic!("{input:?}") };
+    let Some(Input::HubList(HubListUpdate { full: false, hubs, effective_since: told, .. })) = input else {
+        panic!("{input:?}")
+    };
     assert_eq!(hubs.len(), 1);
     assert!(told <= first, "it may have been in the change log since before the first lost poll");
-    assert!(matches!(timeout(PATIENCE, news.recv()).await, Ok(Some(Input::Current))));
+    assert!(matches!(timeout(PATIENCE, news.recv()).await, Ok(Some(Input::ChangeLogCurrent))));
     drop(whole);
     assert_eq!(poll(&listener).await.1, 2);
 }
@@ -89,7 +91,7 @@
     assert!(text.contains("timeout=0 "), "{text}");
     let nothing = r#"{"seq":1,"results":[]}"#;
     stream.write_all(answer(nothing).as_bytes()).await.expect("written");
-    assert!(matches!(timeout(PATIENCE, news.recv()).await, Ok(Some(Input::Current))));
+    assert!(matches!(timeout(PATIENCE, news.recv()).await, Ok(Some(Input::ChangeLogCurrent))));
     let text = read(&mut stream).await;
     assert!(!text.contains("timeout=0 "), "the next ones are: {text}");
     tokio::time::sleep(Duration::from_millis(400)).await;
@@ -98,6 +100,8 @@
     let told = answer(&format!(r#"{{"seq":2,"results":[{event}]}}"#));
     stream.write_all(told.as_bytes()).await.expect("written");
     let input = timeout(PATIENCE, news.recv()).await.expect("in time");
-    let Some(Input::List(News { told, .. })) = input else { panic!("{input:?}") };
+    let Some(Input::HubList(HubListUpdate { effective_since: told, .. })) = input else {
+        panic!("{input:?}")
+    };
     assert!(told >= held_till, "an answer that was held back tells what came just now");
 }
--- a/tests/front.rs
+++ b/tests/front.rs
@@ -78,7 +78,7 @@
             assert!(call < 5_000, "the sockets take all");
             stream.write_all(message("INVITE", call).as_bytes()).expect("room");
             let offer = self.offer().await;
-            let description = Description { form: petreldock::net::SDP, bytes: bytes.clone() };
+            let description = Description { format: petreldock::net::SDP, bytes: bytes.clone() };
             let answer = ToFront::Answer(offer.origin, offer.call, description);
             self.answers.send(answer).await.expect("taken");
             let start = std::time::Instant::now();
--- a/tests/front/server.rs
+++ b/tests/front/server.rs
@@ -36,9 +36,9 @@
     pub async fn start() -> TestServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (core, inputs) = mpsc::channel(QUEUE);
-        let (answers, to_front) = mpsc::channel(ANSWERS);
-        let (sender, status) = watch::channel(Status { settled: true, ..Status::default() });
+        let (core, inputs) = mpsc::channel(INPUT_QUEUE_CAPACITY);
+        let (answers, to_front) = mpsc::channel(FRONT_QUEUE_CAPACITY);
+        let (sender, status) = watch::channel(Status { ready: true, ..Status::default() });
         let owed = Owed::default();
         let (id, sockets, clock) = (FrontId(0), 1024, Clock::system());
         let config = sip_server::Config { id, sockets, clock, core, status, owed: owed.clone() };
--- a/tests/iax2.rs
+++ b/tests/iax2.rs
@@ -191,7 +191,7 @@
     assert!(phone.heard().is_empty(), "acknowledged, and no answer yet");
     let mut description = Vec::new();
     put(&mut description, element::FORMAT, &[0, 0, 0, 8]);
-    let description = Description { form: petreldock::iax2::FORM, bytes: description.into() };
+    let description = Description { format: petreldock::iax2::FORM, bytes: description.into() };
     phone.front.tell(phone.now, ToFront::Answer(Origin(2), call, description));
     let heard = phone.heard();
     assert_eq!((heard[0].0, heard[0].1), (kind::IAX, iax::ACCEPT));
@@ -408,7 +408,7 @@
     far.send(kind::CONTROL, control::RINGING, &[]);
     assert!(far.news().is_empty(), "accepted and ringing is not answered");
     far.send(kind::CONTROL, control::ANSWER, &[]);
-    assert!(matches!(far.news()[..], [FromHub::Stands(CallName(1), _)]));
+    assert!(matches!(far.news()[..], [FromHub::Answered(CallName(1), _)]));
     far.link.command(far.now, ToHub::Release(CallName(1), Cause(16)));
     let heard = far.heard();
     assert_eq!((heard[0].0, cause_of(&heard[0].1)), (iax::HANGUP, Some(16)));
@@ -455,20 +455,20 @@
     let released = |cause, note| vec![FromHub::Released(CallName(1), Cause(cause), note, Report::default())];
     let reject = |code| cause::elements(Ending::Released(Cause(code)));
     let same = |a: Vec<FromHub>, b: Vec<FromHub>| assert_eq!(format!("{a:?}"), format!("{b:?}"));
-    same(told(kind::IAX, iax::REJECT, &reject(42)), released(34, Note::Throttled));
-    same(told(kind::IAX, iax::REJECT, &reject(34)), released(34, Note::Congestion));
-    same(told(kind::CONTROL, control::BUSY, &[]), released(17, Note::Engaged));
-    same(told(kind::CONTROL, control::CONGESTION, &[]), released(34, Note::Congestion));
-    same(told(kind::IAX, iax::AUTHREQ, &[]), released(21, Note::None));
-    same(told(kind::IAX, iax::HANGUP, &reject(16)), released(21, Note::None));
+    same(told(kind::IAX, iax::REJECT, &reject(42)), released(34, RefusalNote::Throttled));
+    same(told(kind::IAX, iax::REJECT, &reject(34)), released(34, RefusalNote::Congestion));
+    same(told(kind::CONTROL, control::BUSY, &[]), released(17, RefusalNote::NumberBusy));
+    same(told(kind::CONTROL, control::CONGESTION, &[]), released(34, RefusalNote::Congestion));
+    same(told(kind::IAX, iax::AUTHREQ, &[]), released(21, RefusalNote::None));
+    same(told(kind::IAX, iax::HANGUP, &reject(16)), released(21, RefusalNote::None));
     let mut silent = Link::default();
     silent.command(SECOND, set_up(1, 10, Micros(90_000_000)));
     (0..2_000).for_each(|n| silent.tick(SECOND + Micros(n * 20_000)));
-    assert!(matches!(silent.news[..], [FromHub::Broken(CallName(1), 10)]), "it may have run");
+    assert!(matches!(silent.news[..], [FromHub::ConnectionLost(CallName(1), 10)]), "it may have run");
     let mut closed = Link::default();
     closed.command(SECOND, set_up(1, 10, Micros(4_000_000)));
     closed.refused();
-    assert!(matches!(closed.news[..], [FromHub::Broken(CallName(1), 10), FromHub::Dead]));
+    assert!(matches!(closed.news[..], [FromHub::ConnectionLost(CallName(1), 10), FromHub::Dead]));
 }
 
 /// A call that stands at a hub; ticks for `time` while the hub answers, or says nothing.
@@ -503,11 +503,11 @@
 fn a_drain_and_a_deadline_are_looked_at_before_the_first_frame() {
     let mut link = Link::default();
     link.command(SECOND, set_up(1, 10, SECOND));
-    link.command(SECOND, ToHub::NotAfter(Some(SECOND)));
+    link.command(SECOND, ToHub::SetUpCutoff(Some(SECOND)));
     link.command(SECOND, set_up(2, 11, Micros(4_000_000)));
     assert!(matches!(link.news[..], [FromHub::NotSent(CallName(1), 10), FromHub::NotSent(CallName(2), 11)]));
     assert!(link.out.is_empty());
-    link.command(SECOND, ToHub::NotAfter(None));
+    link.command(SECOND, ToHub::SetUpCutoff(None));
     link.command(SECOND, set_up(3, 12, Micros(4_000_000)));
     assert_eq!(link.out.len(), 1);
 }
--- a/tests/learning.rs
+++ b/tests/learning.rs
@@ -1,7 +1,9 @@
 //! What is kept of beliefs: its form and old forms, how it ages, and whose it is.
 
 use petreldock::interface::{Belief, Micros};
-use petreldock::learning::{decode, encode, Ageing, Identity, Kept, Memory, Picture, HUBS_MOST, VERSION};
+use petreldock::learning::{
+    decode, encode, DecaySettings, Identity, LearnedHub, LearnedState, RestoredState, MAX_HUBS, VERSION,
+};
 use petreldock::store;
 use quickcheck::{Arbitrary, Gen};
 
@@ -29,15 +31,15 @@
     }
 }
 
-fn picture(uids: &[&str]) -> Picture {
-    let hubs = uids.iter().map(|uid| Kept { hub: identity(uid), belief: belief() }).collect();
-    Picture { at: AT, hold: 8.5, hubs }
+fn picture(uids: &[&str]) -> LearnedState {
+    let hubs = uids.iter().map(|uid| LearnedHub { hub: identity(uid), belief: belief() }).collect();
+    LearnedState { at: AT, hold: 8.5, hubs }
 }
 
 /// What is recalled of a hub so many microseconds after it was kept.
 fn after(age: u64) -> Option<Belief> {
     let now = AT + Micros(age);
-    Memory::new(picture(&["a"]), Ageing::default(), now).0.recall(&identity("a"), now)
+    RestoredState::new(picture(&["a"]), DecaySettings::default(), now).0.recall(&identity("a"), now)
 }
 
 #[test]
@@ -63,16 +65,18 @@
 
 #[test]
 fn a_clock_that_jumped_makes_the_age_unknown_or_great() {
-    let (mut memory, taken) = Memory::new(picture(&["a"]), Ageing::default(), AT - Micros(5 * SECOND));
-    assert!(taken.future && taken.hubs == 0 && taken.dropped == 1);
+    let (mut memory, taken) =
+        RestoredState::new(picture(&["a"]), DecaySettings::default(), AT - Micros(5 * SECOND));
+    assert!(taken.from_future && taken.hubs == 0 && taken.dropped == 1);
     assert_eq!(memory.recall(&identity("a"), AT), None);
     assert_eq!(memory.hold(AT - Micros(5 * SECOND)), None);
-    let (_, taken) = Memory::new(picture(&["a"]), Ageing::default(), AT + Micros(86_400 * SECOND));
-    assert!(taken.old && taken.hubs == 0);
+    let (_, taken) =
+        RestoredState::new(picture(&["a"]), DecaySettings::default(), AT + Micros(86_400 * SECOND));
+    assert!(taken.too_old && taken.hubs == 0);
     // One hub alone that claims so, in a picture that is sound.
     let mut one = picture(&["a", "b"]);
     one.hubs[0].belief.heard = AT + Micros(60 * SECOND);
-    let (mut memory, taken) = Memory::new(one, Ageing::default(), AT);
+    let (mut memory, taken) = RestoredState::new(one, DecaySettings::default(), AT);
     assert_eq!((taken.hubs, taken.dropped), (1, 1));
     assert!(memory.recall(&identity("a"), AT).is_none() && memory.recall(&identity("b"), AT).is_some());
 }
@@ -82,7 +86,7 @@
     let recall = |change: fn(&mut Identity)| {
         let mut hub = identity("a");
         change(&mut hub);
-        Memory::new(picture(&["a"]), Ageing::default(), AT).0.recall(&hub, AT)
+        RestoredState::new(picture(&["a"]), DecaySettings::default(), AT).0.recall(&hub, AT)
     };
     assert!(recall(|_| {}).is_some());
     assert_eq!(recall(|h| h.uid = "b".into()), None);
@@ -90,7 +94,7 @@
     assert_eq!(recall(|h| h.place = 3), None);
     assert_eq!(recall(|h| h.born = Some(AT)), None, "it started anew and is cold");
     // Each is recalled once: one that leaves and comes back is not what it was.
-    let mut memory = Memory::new(picture(&["a"]), Ageing::default(), AT).0;
+    let mut memory = RestoredState::new(picture(&["a"]), DecaySettings::default(), AT).0;
     assert!(memory.recall(&identity("a"), AT).is_some() && memory.recall(&identity("a"), AT).is_none());
 }
 
@@ -99,13 +103,13 @@
     let mut again = picture(&["a"]);
     again.at = AT + Micros(300 * SECOND);
     let now = again.at;
-    let (mut memory, _) = Memory::new(again, Ageing::default(), now);
+    let (mut memory, _) = RestoredState::new(again, DecaySettings::default(), now);
     assert_eq!(memory.recall(&identity("a"), now), after(300 * SECOND));
 }
 
 #[test]
 fn absurd_figures_are_dropped_and_numbers_are_bounded() {
-    let absurd: [fn(&mut Kept); 10] = [
+    let absurd: [fn(&mut LearnedHub); 10] = [
         |k| k.belief.weight = 1.5,
         |k| k.belief.pass = -0.1,
         |k| k.belief.share = f64::NAN,
@@ -120,15 +124,15 @@
     for (nth, spoil) in absurd.into_iter().enumerate() {
         let mut spoilt = picture(&["a", "b", "b"]);
         spoil(&mut spoilt.hubs[0]);
-        let (_, taken) = Memory::new(spoilt, Ageing::default(), AT);
+        let (_, taken) = RestoredState::new(spoilt, DecaySettings::default(), AT);
         assert_eq!((taken.hubs, taken.dropped), (1, 2), "case {nth}; one name twice is dropped as well");
     }
-    let names: Vec<String> = (0..HUBS_MOST + 50).map(|n| format!("s-{n}")).collect();
+    let names: Vec<String> = (0..MAX_HUBS + 50).map(|n| format!("s-{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let (memory, taken) = Memory::new(picture(&names), Ageing::default(), AT);
-    assert_eq!((taken.hubs, taken.dropped), (HUBS_MOST, 50));
-    assert_eq!(memory.unnamed(AT).count(), HUBS_MOST, "kept on until a list names them");
-    assert_eq!(memory.unnamed(AT + Micros(901 * SECOND)).count(), 0);
+    let (memory, taken) = RestoredState::new(picture(&names), DecaySettings::default(), AT);
+    assert_eq!((taken.hubs, taken.dropped), (MAX_HUBS, 50));
+    assert_eq!(memory.unlisted(AT).count(), MAX_HUBS, "kept on until a list names them");
+    assert_eq!(memory.unlisted(AT + Micros(901 * SECOND)).count(), 0);
 }
 
 #[test]
@@ -172,7 +176,7 @@
         // What is still JSON of the form must pass the second look without a panic.
         for version in [1, VERSION] {
             if let Ok(read) = decode(version, &changed) {
-                let (mut memory, taken) = Memory::new(read, Ageing::default(), AT);
+                let (mut memory, taken) = RestoredState::new(read, DecaySettings::default(), AT);
                 assert!(taken.hubs <= 2);
                 let recalled = memory.recall(&identity("a"), AT);
                 assert!(recalled.is_none_or(|b| (0.0..=1.0).contains(&b.weight) && b.carries <= 1e6));
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -34,7 +34,7 @@
         class: "voice".into(),
         number: "1".into(),
         until: clock.now() + Micros(60_000_000),
-        description: Description { form: SDP, bytes },
+        description: Description { format: SDP, bytes },
     })
 }
 
@@ -42,7 +42,7 @@
 async fn stalled() -> Desk {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let endpoint = listener.local_addr().expect("an address").to_string();
-    let (inputs, news) = mpsc::channel(QUEUE);
+    let (inputs, news) = mpsc::channel(INPUT_QUEUE_CAPACITY);
     let clock = Clock::system();
     let commands = hub::start(
         LinkId(1),
@@ -131,7 +131,7 @@
 async fn a_drain_is_looked_at_again_at_a_set_ups_first_byte() {
     let mut desk = stalled().await;
     let now = desk.clock.now();
-    desk.commands.send(ToHub::NotAfter(Some(now))).await.expect("taken");
+    desk.commands.send(ToHub::SetUpCutoff(Some(now))).await.expect("taken");
     let came = desk.read().await;
     let mut not_sent = BTreeSet::new();
     while came.len() + not_sent.len() < SET_UPS as usize {
@@ -153,7 +153,7 @@
     let (mut broken, mut unreachable) = (BTreeSet::new(), BTreeSet::new());
     while broken.len() + unreachable.len() < SET_UPS as usize {
         match timeout(PATIENCE, news.recv()).await.expect("in time") {
-            Some(Input::Hub(_, FromHub::Broken(CallName(call), _))) => assert!(broken.insert(call)),
+            Some(Input::Hub(_, FromHub::ConnectionLost(CallName(call), _))) => assert!(broken.insert(call)),
             Some(Input::Hub(_, FromHub::Unreachable(CallName(call), _))) => assert!(unreachable.insert(call)),
             other => panic!("{other:?}"),
         }
@@ -179,7 +179,7 @@
 
     async fn listening(listener: &TcpListener) -> Pair {
         let endpoint = listener.local_addr().expect("an address").to_string();
-        let (inputs, news) = mpsc::channel(QUEUE);
+        let (inputs, news) = mpsc::channel(INPUT_QUEUE_CAPACITY);
         let clock = Clock::system();
         let commands = hub::start(
             LinkId(1),
@@ -213,7 +213,7 @@
         let mut bytes = Vec::new();
         binary::write(&mut bytes, binary::kind::ANSWER, call, &[(binary::code::DESCRIPTION, b"v=0")]);
         self.hub[at].write_all(&bytes).await.expect("written");
-        assert!(matches!(self.news().await, FromHub::Stands(CallName(c), _) if c == call));
+        assert!(matches!(self.news().await, FromHub::Answered(CallName(c), _) if c == call));
     }
 
     async fn news(&mut self) -> FromHub {
@@ -252,7 +252,7 @@
         assert_ne!(other, stuck, "the one that owes least is taken");
         pair.answer(other, 2).await;
         if !called_off {
-            assert!(matches!(pair.news().await, FromHub::Broken(CallName(1), 2)));
+            assert!(matches!(pair.news().await, FromHub::ConnectionLost(CallName(1), 2)));
         }
         pair.closed(stuck).await;
         assert_eq!(pair.set_up(3).await, other, "its calls and set-ups go on");
@@ -278,7 +278,7 @@
     let mut pair = Pair::new().await;
     let stuck = pair.set_up(1).await;
     pair.hub[stuck].write_all(&[0, 90, binary::kind::ANSWER, 0, 0]).await.expect("written");
-    assert!(matches!(pair.news().await, FromHub::Broken(CallName(1), 2)));
+    assert!(matches!(pair.news().await, FromHub::ConnectionLost(CallName(1), 2)));
     pair.closed(stuck).await;
     assert_ne!(pair.set_up(2).await, stuck);
 }
@@ -319,7 +319,7 @@
     pair.set_up(2).await;
     let _waiting = shut(&listener).await;
     // Danger: told by the death alone, the core would send the call elsewhere while this hub still has it.
-    assert!(matches!(pair.news().await, FromHub::Broken(CallName(2), 3)));
+    assert!(matches!(pair.news().await, FromHub::ConnectionLost(CallName(2), 3)));
     assert!(matches!(pair.news().await, FromHub::Dead));
     for stream in &mut pair.hub {
         let mut bytes = [0; 256];
@@ -361,7 +361,7 @@
     let (mut broken, mut unreachable) = (BTreeSet::new(), BTreeSet::new());
     loop {
         match desk.news().await {
-            FromHub::Broken(CallName(call), _) => assert!(broken.insert(call)),
+            FromHub::ConnectionLost(CallName(call), _) => assert!(broken.insert(call)),
             FromHub::Unreachable(CallName(call), _) => assert!(unreachable.insert(call)),
             FromHub::Closed => break,
             other => panic!("{other:?}"),
@@ -402,7 +402,7 @@
     let mut stand = BTreeSet::new();
     while stand.len() < 2 {
         match pair.news().await {
-            FromHub::Stands(CallName(call), _) => assert!(stand.insert(call)),
+            FromHub::Answered(CallName(call), _) => assert!(stand.insert(call)),
             other => panic!("{other:?}"),
         }
     }
@@ -414,7 +414,7 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     write_now(&pair.hub[slow], &answer[5..]);
     std::thread::sleep(Duration::from_millis(500));
-    assert!(matches!(pair.news().await, FromHub::Stands(CallName(3), _)));
+    assert!(matches!(pair.news().await, FromHub::Answered(CallName(3), _)));
 }
 
 #[tokio::test]
@@ -470,7 +470,7 @@
 async fn ends_that_a_hub_was_not_told_yet_are_owed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let endpoint = listener.local_addr().expect("an address").to_string();
-    let (inputs, mut news) = mpsc::channel(QUEUE);
+    let (inputs, mut news) = mpsc::channel(INPUT_QUEUE_CAPACITY);
     let (clock, owed) = (Clock::system(), Owed::default());
     let limits = site::config(&[]).limits;
     let commands = hub::start(LinkId(1), &endpoint, limits, &Doors::new(1024), &owed, clock, inputs);
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -7,7 +7,7 @@
 
 use peers::*;
 use petreldock::config::{self, At, Config, Operator};
-use petreldock::learning::Ageing;
+use petreldock::learning::DecaySettings;
 use petreldock::net::binary::{code, kind};
 use std::io::{Read, Write};
 use std::process::{Command, Stdio};
@@ -393,7 +393,7 @@
     assert!(operator.iax2_listen.is_some() && operator.iax2_hubs.len() == 1);
     let value = config::parse(&read("deploy/state.example.json"), "operator").expect("JSON");
     let operator = Operator::read(&At::root(&value, ""), &read_config.names).expect("sound");
-    assert!(operator.state.is_some_and(|s| s.ageing == Ageing::default()) && operator.log.json);
+    assert!(operator.state.is_some_and(|s| s.ageing == DecaySettings::default()) && operator.log.json);
 }
 
 #[test]
--- a/tests/silent_callers.rs
+++ b/tests/silent_callers.rs
@@ -112,7 +112,7 @@
     async fn stand(&mut self, peer: &mut Peer, call: u64, length: usize) -> Origin {
         peer.say(&message("INVITE", call));
         let offer = self.offer().await;
-        let description = Description { form: SDP, bytes: Bytes::from(vec![b'v'; length]) };
+        let description = Description { format: SDP, bytes: Bytes::from(vec![b'v'; length]) };
         let answer = ToFront::Answer(offer.origin, offer.call, description);
         self.answers.send(answer).await.expect("taken");
         offer.origin
