--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,9 @@
-//! The core: owns the module, the call table and the timer wheel, and knows no wire.
+//! The protocol-independent core. It owns the decision module, the call table and the timer wheel.
 //!
-//! One task runs it ([`run`]). Socket code reaches it through a bounded queue of [`Input`]s, and it
-//! answers through queues. The module decides; the core keeps the books and guards the rules
-//! against bugs elsewhere: one final answer a call, one attempt at a time, the release pause, drains.
+//! The core runs as a single task ([`run`]). Socket code sends it [`Input`]s through a bounded queue and
+//! receives commands through queues. The decision module ([`Controller`]) chooses what to do; the core keeps
+//! the state of calls and hubs and enforces the rules even if another component has a bug: one final answer
+//! per call, one attempt at a time, the release pause between attempts, and no new set-ups to a drained hub.
 
 pub mod outcome;
 pub mod timer_wheel;
@@ -22,29 +23,30 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Duration, Instant, MissedTickBehavior};
 
-/// How many inputs may wait before socket code has to.
+/// Capacity of the queue of inputs. Socket code waits while it is full.
 pub const INPUT_QUEUE_CAPACITY: usize = 4096;
-/// ... and how many of them are taken in between two looks at the clock's ticks.
+/// Number of inputs handled in a row before the timers are checked again.
 const INPUTS_PER_TICK_CHECK: usize = 64;
-/// How many answers may wait for a front.
+/// Capacity of the queue of messages to one front.
 pub const FRONT_QUEUE_CAPACITY: usize = 65_536;
-/// Ended calls stay known this long, so that late messages about them are not taken for news.
+/// How long the names of ended calls are remembered, so that late messages about them are recognised as late.
 const ENDED_CALL_RETENTION: Micros = Micros(30_000_000);
-/// ... but no more than so many.
+/// Upper bound on the number of ended calls remembered within [`ENDED_CALL_RETENTION`].
 const MAX_ENDED_CALLS: usize = 32_768;
-/// The front passes its test this long after the start, though not all hubs have told their state.
+/// Time after the start at which the process reports itself ready even if some hubs have not reported their
+/// state.
 const READY_TIMEOUT: Micros = Micros(1_000_000);
-/// Hubs in service and gone at most; what a list names beyond them is left out.
+/// Maximum number of hubs known at once, including removed ones. Further hubs in a list are ignored.
 const MAX_HUBS: usize = 4096;
-/// Hubs that are gone stay known up to so many, so that one that comes back keeps its id.
+/// Number of removed hubs that are remembered, so that a hub that returns keeps its id.
 const MAX_GONE_HUBS: usize = 1024;
-/// A caller is taken to wait no longer than this, or than the longest deadline of the settings. Danger: the
-/// timers of a set-up stay till then, also once it is over.
+/// Upper bound on how long a caller waits for an answer, unless a class of the settings has a longer deadline.
+/// The bound is needed because the timers of a set-up are kept until its deadline, even after it has ended.
 const MAX_CALLER_WAIT: Micros = Micros(60_000_000);
-/// So many hubs' beliefs are gathered at one tick: no call waits for all of them.
+/// Number of hubs whose learned state is collected at one tick, so that no call waits for all hubs.
 const HUBS_COLLECTED_PER_TICK: usize = 128;
 
-/// The Unix clock: read once, and moved on by the monotonic one, which tests can pause.
+/// Unix time. The system clock is read once; after that the monotonic clock, which tests can pause, advances it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     base: Micros,
@@ -52,24 +54,24 @@
 }
 
 impl Clock {
-    /// Reads the system's clock.
+    /// Creates a clock from the current system time.
     pub fn system() -> Clock {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         Clock { base: Micros(since.as_micros() as u64), start: Instant::now() }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.base + Micros(self.start.elapsed().as_micros() as u64)
     }
 
-    /// The instant of a time, for sleeping until it.
+    /// Converts a time to an [`Instant`], for sleeping until it.
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros((at - self.base).0)
     }
 }
 
-/// Opens the link to a hub at an endpoint.
+/// Starts the link to the hub at an endpoint and returns the sender of its commands.
 pub type ConnectHub = Box<dyn FnMut(LinkId, &str) -> mpsc::Sender<ToHub> + Send>;
 
 struct HubState {
@@ -79,14 +81,16 @@
     place: i64,
     born: Option<Micros>,
     phase: Phase,
-    /// When it was told to drain or to be gone.
+    /// When the hub was told to drain or was removed; `None` while it is in service.
     leaving_since: Option<Micros>,
     link: Option<(LinkId, mpsc::Sender<ToHub>)>,
+    /// Whether its current link has reported the hub's state.
     reported: bool,
+    /// The hub comes from the operator's file, so no list removes it.
     configured: bool,
-    /// No list has been passed on since it was first named.
+    /// The hub is new since the last list that was passed to the decision module.
     newly_listed: bool,
-    /// Which list named it last.
+    /// Number of the last list update that named this hub.
     last_listed: u64,
 }
 
@@ -96,7 +100,7 @@
         Identity { uid, endpoint, place: self.place, born: self.born }
     }
 
-    /// Gone, with no link left that could speak for it.
+    /// Whether the hub is gone, has no link left and may be replaced by a new hub.
     fn is_removable(&self) -> bool {
         self.phase == Phase::Gone && self.link.is_none() && !self.configured
     }
@@ -106,14 +110,13 @@
 struct Attempt {
     link: LinkId,
     server: ServerId,
-    /// Its number within the call, as the module counts.
+    /// Number of the attempt within its call, counted from 0 as the decision module does.
     index: u32,
-    /// Its own number.
+    /// Number of the attempt, unique among all attempts of this process.
     number: u64,
     sent_at: Micros,
-    /// When it times out.
     times_out_at: Micros,
-    /// Set once it is being given up: how it will have ended.
+    /// Set when the attempt is given up: the outcome that it ends with.
     give_up_reason: Option<Outcome>,
 }
 
@@ -123,39 +126,44 @@
     front: FrontId,
     origin: Origin,
     class: Arc<str>,
-    /// What a repeat of it does at a hub.
+    /// Whether the set-up may be repeated at a hub once it may have run.
     effect: Effect,
     number: Arc<str>,
     description: Description,
     deadline: Micros,
-    /// The final answer is given, or none is owed any more.
+    /// The final answer was given, or none is owed any more.
     answered: bool,
     established: bool,
     attempt: Option<Attempt>,
     attempts_sent: u32,
-    /// An attempt of it ended without proof that it never ran.
+    /// An attempt ended without proof that it never ran.
     may_have_run: bool,
+    /// End of the release pause: no further attempt starts earlier.
     not_before: Micros,
 }
 
 impl Call {
-    /// Whether to have it run again, or to tell its caller that nothing ran, may do harm.
+    /// Whether a further attempt, or telling the caller that nothing ran, could do harm.
     fn must_not_repeat(&self) -> bool {
         self.effect != Effect::Free && self.may_have_run
     }
 }
 
+/// What to do when a timer of the core fires.
 enum TimerEvent {
+    /// A timer that the decision module asked for, with its token.
     Module(u64),
+    /// The time-out of the attempt with this number.
     Attempt(CallId, u64),
     Deadline(CallId),
+    /// The end of the time that open calls get when the process shuts down.
     Shutdown,
 }
 
-/// Where pictures of what is believed go; the latest wins.
+/// Channel for exported learned state; receivers see only the latest value.
 pub type LearnedStateSender = watch::Sender<Option<Arc<LearnedState>>>;
 
-/// Hands out what is believed, every so often.
+/// Periodic export of the learned state.
 struct StateExport {
     sender: LearnedStateSender,
     interval: Micros,
@@ -163,31 +171,31 @@
     collector: Option<StateCollector>,
 }
 
-/// How the core is, for its fronts and for the end of the program.
+/// State of the core, as used by the fronts and by the shutdown of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// The hubs have told their state, or have had their time to.
+    /// The hubs have reported their state, or the time allowed for this has passed.
     pub ready: bool,
-    /// The program is to end.
+    /// The process is shutting down.
     pub stopping: bool,
-    /// Calls whose final answer is owed.
+    /// Number of calls that still wait for their final answer.
     pub unanswered: usize,
 }
 
-/// What the core has to do, for those who tell others of it.
+/// Current load of this process, as reported to other controllers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LoadFigures {
-    /// Set-ups that callers brought, since the start.
+pub struct LoadSummary {
+    /// Number of set-ups received from callers since the start.
     pub offered: u64,
-    /// Set-ups out at hubs, and calls that stand there.
+    /// Number of calls at hubs, both set-ups without an answer and established calls.
     pub open: u32,
-    /// The newest event of the change log.
+    /// Sequence number of the newest change-log event seen.
     pub seq: u64,
-    /// The program is to end.
+    /// The process is shutting down.
     pub stopping: bool,
 }
 
-/// The core's whole state. It reads no clock: time comes in.
+/// State of the core. It reads no clock: callers pass the current time to each method.
 pub struct Core {
     controller: Controller,
     names: Names,
@@ -199,47 +207,48 @@
     connect: ConnectHub,
     status: watch::Sender<Status>,
     stopping: bool,
-    /// The end is so near that no hub's answer would come in time.
+    /// The shutdown time has passed, so no answer of a hub could arrive in time.
     refuse_new_calls: bool,
     started: Micros,
     timers: TimerWheel<TimerEvent>,
     calls: BTreeMap<CallId, Call>,
     call_by_name: HashMap<CallName, CallId>,
-    /// Calls whose final answer is owed.
+    /// Number of calls that still wait for their final answer.
     unanswered: usize,
-    /// Bytes of the descriptions that the calls hold.
+    /// Total size of the descriptions that open calls hold.
     description_bytes: usize,
     ended_calls: HashMap<CallName, Micros>,
     ended_calls_by_age: VecDeque<(CallName, Micros)>,
     hubs: Vec<HubState>,
     hub_by_uid: HashMap<Arc<str>, usize>,
     hub_by_id: BTreeMap<ServerId, usize>,
-    /// Hubs that may be forgotten, with since when they were told to go.
+    /// Hubs that a new hub may replace, ordered by the time at which they were removed.
     removable_hubs: BTreeSet<(Micros, usize)>,
     hub_by_link: BTreeMap<LinkId, usize>,
-    /// Which hub's link leads to an address.
+    /// Index of the hub whose link leads to an address.
     hub_by_endpoint: HashMap<Arc<str>, usize>,
-    /// Links told to close, with set-ups that are not settled yet.
+    /// Links that were told to close and still have set-ups whose end is not known.
     closing_links: BTreeSet<LinkId>,
-    /// Which calls have an attempt at which link.
+    /// Calls that have an attempt at a link.
     calls_by_link: BTreeSet<(LinkId, CallId)>,
     last_call: u64,
     last_attempt: u64,
     last_link: u64,
     last_hub: u64,
+    /// Number of hub list updates applied so far.
     update_count: u64,
     full_list_received: bool,
-    /// The change log, where there is one, was heard since the start.
+    /// No change log is configured, or all its events up to now were received since the start.
     change_log_current: bool,
     restored: Option<RestoredState>,
     export: Option<StateExport>,
     offered: u64,
     seq: u64,
-    load_sender: Option<watch::Sender<LoadFigures>>,
+    load_sender: Option<watch::Sender<LoadSummary>>,
 }
 
 impl Core {
-    /// A core that knows no hub yet. `status` is kept up to date for the fronts.
+    /// Creates a core that knows no hubs. `status` is kept up to date for the fronts.
     pub fn new(
         config: &Config,
         fronts: Vec<mpsc::Sender<ToFront>>,
@@ -289,32 +298,32 @@
         })
     }
 
-    /// Takes up what an earlier start knew. It is for the hubs that the next lists name.
+    /// Takes state that an earlier run saved. It is applied to the hubs that the next lists name.
     pub fn restore(&mut self, restored: RestoredState) {
         self.restored = Some(restored);
     }
 
-    /// Has what is believed handed out every so often, once a list has come.
+    /// Sends the learned state to `sender` at every `interval`, starting once a list was received.
     pub fn export_state(&mut self, sender: LearnedStateSender, interval: Micros, now: Micros) {
         self.export = Some(StateExport { sender, interval, next_at: now + interval, collector: None });
     }
 
-    /// Has it said at every tick what there is to do.
-    pub fn publish_load(&mut self, sender: watch::Sender<LoadFigures>) {
+    /// Sends the current load to a channel at every tick.
+    pub fn publish_load(&mut self, sender: watch::Sender<LoadSummary>) {
         self.load_sender = Some(sender);
     }
 
-    /// Calls in the table.
+    /// Returns the number of calls in the table.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Hubs that are known, in service and gone.
+    /// Returns the number of known hubs, including removed ones.
     pub fn known_hubs(&self) -> usize {
         self.hubs.len()
     }
 
-    /// Adds hubs that no list names or takes away: those of the operator's file.
+    /// Adds the hubs of the operator's file. No list removes them.
     pub fn add_configured_hubs(&mut self, now: Micros, hubs: Vec<Hub>) {
         for hub in &hubs {
             if let Some(index) = self.find_or_add_hub(hub) {
@@ -324,12 +333,12 @@
         self.apply_hub_list(now, HubListUpdate { full: false, hubs, effective_since: now, seq: 0 });
     }
 
-    /// Takes one input.
+    /// Processes one input.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
             Input::Offer(offer) => self.handle_offer(now, offer),
             Input::Withdrawn(front, origin, name) => {
-                // A lost connection withdraws its own set-ups alone.
+                // A lost connection withdraws only the set-ups that came in on it.
                 let known = self.call_by_name.get(&name).and_then(|id| self.calls.get(id));
                 if known.is_some_and(|c| c.origin == origin) {
                     self.handle_withdrawal(now, front, name);
@@ -355,27 +364,28 @@
         }
     }
 
-    /// Gathers the beliefs of up to `most` more hubs, and hands out the picture once it is whole.
+    /// Collects the learned state of up to `max_hubs` further hubs, and exports it once all are collected.
     fn collect_state(&mut self, now: Micros, max_hubs: usize) {
-        // Danger: before the first list nothing is known; what the last start knew must not give way to it.
+        // Before the first list no hub is known. An export now would overwrite the state that the last run
+        // saved with an empty one.
         let Some(export) = self.export.as_mut().filter(|_| !self.hubs.is_empty()) else { return };
         let (hubs, controller) = (&self.hubs, &self.controller);
-        let look = |i: usize| {
+        let learned_hub = |i: usize| {
             let hub = hubs.get(i).filter(|h| h.phase != Phase::Gone)?;
             Some(LearnedHub { hub: hub.identity(), belief: controller.belief(hub.id)? })
         };
         let collector = export.collector.get_or_insert_default();
-        if let Some(mut gathered) = collector.collect(hubs.len(), max_hubs, look) {
+        if let Some(mut learned_hubs) = collector.collect(hubs.len(), max_hubs, learned_hub) {
             let unlisted = self.restored.iter().flat_map(|m| m.unlisted(now)).cloned();
-            gathered.extend(unlisted.take(MAX_HUBS.saturating_sub(hubs.len())));
-            let learned = LearnedState { at: now, hold: controller.hold(), hubs: gathered };
+            learned_hubs.extend(unlisted.take(MAX_HUBS.saturating_sub(hubs.len())));
+            let learned = LearnedState { at: now, hold: controller.hold(), hubs: learned_hubs };
             export.collector = None;
             export.next_at = now + export.interval;
             export.sender.send_replace(Some(Arc::new(learned)));
         }
     }
 
-    /// What an earlier start knew of the hubs that are named for the first time.
+    /// Passes the saved state of hubs that a list names for the first time to the decision module.
     fn recall_new_hubs(&mut self, now: Micros) {
         let Some(restored) = &mut self.restored else { return };
         let newly_listed = self.hubs.iter_mut().filter(|h| h.newly_listed);
@@ -393,10 +403,10 @@
         }
     }
 
-    /// Hands out what is due.
+    /// Handles the timers that are due and publishes the current status and load.
     pub fn tick(&mut self, now: Micros) {
-        for due in self.timers.advance(now) {
-            match due {
+        for event in self.timers.advance(now) {
+            match event {
                 TimerEvent::Module(token) => self.dispatch(now, Event::Timer(token)),
                 TimerEvent::Attempt(id, number) => {
                     let out = self.calls.get(&id).filter(|c| !c.established).and_then(|c| c.attempt.as_ref());
@@ -404,13 +414,15 @@
                         self.give_up(id, Outcome::TimedOut);
                     }
                 }
-                // Guards the first rule: the module answers a little before; this is for its bugs.
+                // The decision module answers shortly before the deadline. This ensures a final answer by the
+                // deadline even if it does not.
                 TimerEvent::Deadline(id) => {
                     if self.calls.get(&id).is_some_and(|c| !c.answered) {
                         self.give_final_answer(now, Action::Fail(id));
                     }
                 }
-                // What is open when the program must end is refused, else it would be lost.
+                // Calls still open when the process must end are refused; otherwise their callers would get no
+                // answer.
                 TimerEvent::Shutdown => {
                     self.refuse_new_calls = true;
                     let open = self.calls.values().filter(|c| !c.answered).map(|c| c.id);
@@ -430,18 +442,18 @@
         }
         if let Some(sender) = &self.load_sender {
             let (open, stopping) = (self.calls_by_link.len() as u32, self.stopping);
-            sender.send_replace(LoadFigures { offered: self.offered, open, seq: self.seq, stopping });
+            sender.send_replace(LoadSummary { offered: self.offered, open, seq: self.seq, stopping });
         }
-        let was = *self.status.borrow();
-        let ready = was.ready || self.started + READY_TIMEOUT <= now || self.has_initial_state();
+        let previous = *self.status.borrow();
+        let ready = previous.ready || self.started + READY_TIMEOUT <= now || self.has_initial_state();
         let status = Status { ready, stopping: self.stopping, unanswered: self.unanswered };
-        if status != was {
+        if status != previous {
             self.status.send_replace(status);
         }
     }
 
-    /// Whether the start's news are in: the change log's, and the state of every hub. Danger: the list of the
-    /// start may be older than a drain that counts as told.
+    /// Whether the change log was read and every hub has reported its state since the start. The list in the
+    /// configuration is not enough: it may be older than a drain that is already in effect.
     fn has_initial_state(&self) -> bool {
         let asked = |h: &&HubState| h.phase == Phase::Up && !h.configured;
         self.full_list_received
@@ -455,9 +467,9 @@
         self.offered += 1;
         metrics::CALLS_OFFERED.increment();
         if let Some(known) = self.call_by_name.get(&offer.call).and_then(|id| self.calls.get(id)) {
-            // A repeat of a set-up that is open: its answer is owed once. Danger: one from elsewhere, or
-            // of a call that stands or is still being given up at a hub, must not get a second attempt,
-            // nor leave whoever sent it without a word.
+            // A retransmission of an open set-up is ignored, because it is answered only once. One from
+            // another connection, or of a call that is established or still being given up at a hub, must not
+            // start a second attempt, but its sender must get an answer.
             if known.answered || known.origin != offer.origin {
                 self.to_front(offer.front, ToFront::Refuse(offer.origin, offer.call, Micros(0)));
             }
@@ -468,12 +480,14 @@
             return self.to_front(offer.front, ToFront::Refuse(offer.origin, offer.call, Micros(0)));
         }
         let class = self.names.classes.get(&*offer.class).copied();
-        let Some((class, (effect, waits))) = class.and_then(|c| Some((c, *self.classes.get(c)?))) else {
+        let Some((class, (effect, class_deadline))) = class.and_then(|c| Some((c, *self.classes.get(c)?)))
+        else {
             return self.to_front(offer.front, ToFront::Fail(offer.origin, offer.call));
         };
         let longest = self.classes.iter().map(|(_, deadline)| *deadline).fold(MAX_CALLER_WAIT, Micros::max);
-        let deadline = offer.deadline.unwrap_or(now + waits).min(now + longest);
-        // Danger: set-ups of 16 KiB each fill the memory long before the table is full.
+        let deadline = offer.deadline.unwrap_or(now + class_deadline).min(now + longest);
+        // The number of calls alone does not bound the memory: set-ups of 16 KiB each would exhaust it long
+        // before the table is full.
         let held = self.description_bytes + offer.description.bytes.len();
         if self.calls.len() >= self.limits.max_open || held > self.limits.description_bytes {
             return self.to_front(offer.front, ToFront::Refuse(offer.origin, offer.call, Micros(0)));
@@ -490,7 +504,7 @@
             returned: offer.returned,
             transit: false,
         };
-        tracing::debug!(call = %offer.call, within_us = (deadline - now).0, "taken");
+        tracing::debug!(call = %offer.call, within_us = (deadline - now).0, "call accepted");
         self.description_bytes = held;
         self.unanswered += 1;
         self.call_by_name.insert(offer.call, id);
@@ -528,7 +542,8 @@
 
     fn handle_hangup(&mut self, now: Micros, front: FrontId, name: CallName, cause: Cause) {
         let Some(id) = self.call_by_name.get(&name).copied() else {
-            // A call from before this start: whichever hub has it may hear of its release.
+            // The call may have been set up before this process started. The hub that holds it is not known,
+            // so all hubs get the release.
             if !self.ended_calls.contains_key(&name) {
                 let links: Vec<LinkId> = self.hub_by_link.keys().copied().collect();
                 links.into_iter().for_each(|link| self.to_hub(link, ToHub::Release(name, cause)));
@@ -541,15 +556,16 @@
             self.to_hub(link, ToHub::Release(name, cause));
             self.end_attempt(now, id, Outcome::Withdrawn, false, Report::default());
         }
-        // Danger: any connection may end what stands, but a set-up is ended by its own connection alone.
+        // Any connection may release an established call, but only the connection that a set-up came in on may
+        // end the set-up.
     }
 
     // ---- hubs ----
 
     fn handle_hub_event(&mut self, now: Micros, link: LinkId, from: FromHub) {
         let index = self.hub_by_link.get(&link).copied();
-        // A link that closes has its set-ups settled, and is believed in nothing else.
-        let settles = matches!(
+        // From a link that is closing, only the ends of its set-ups are accepted.
+        let ends_set_up = matches!(
             from,
             FromHub::GivenUp { .. }
                 | FromHub::ConnectionLost(..)
@@ -557,7 +573,7 @@
                 | FromHub::NotSent(..)
                 | FromHub::Closed
         );
-        if index.is_none() && !(settles && self.closing_links.contains(&link)) {
+        if index.is_none() && !(ends_set_up && self.closing_links.contains(&link)) {
             return;
         }
         match from {
@@ -565,7 +581,8 @@
             FromHub::Released(name, cause, note, report) => {
                 let Some((id, call)) = self.call_at_link(link, name) else {
                     self.forward_load_report(now, index, report);
-                    // A call from before this start. Danger: one that ended here must not end twice.
+                    // The call may have been set up before this process started, so all fronts get the
+                    // release. A call that already ended here must not be released a second time.
                     if !self.call_by_name.contains_key(&name) && !self.ended_calls.contains_key(&name) {
                         for front in 0..self.fronts.len() {
                             self.to_front(FrontId(front), ToFront::Release(None, name, cause));
@@ -616,7 +633,7 @@
             }
             FromHub::Closed => {
                 self.closing_links.remove(&link);
-                // Guards against a link that forgot one: with its connections closed, nothing is out there.
+                // Ends attempts that the link has failed to report: with its connections closed, none is open.
                 self.end_attempts_at_link(now, link, |_| true);
             }
             FromHub::Dead => self.cut_established_calls(now, link, index, "dead"),
@@ -629,10 +646,10 @@
         }
     }
 
-    /// A hub's release overtook its answer: the call stood there, or may have, and is over. Its caller is owed
-    /// the end within 1 s (PROTOCOL, 'The rules on sockets'), and there is no answer that could be passed on
-    /// first. Danger: a further attempt would leave the caller untold of the end of the call that it made, and
-    /// answered for another one. The answer that still comes is nobody's.
+    /// Handles a hub's release that arrived before its answer. The call was, or may have been, established at
+    /// the hub and is over. The caller must be told of the end within 1 s, and there is no answer to pass on
+    /// first, so the call fails. A further attempt would hide the end of this call from the caller and answer it
+    /// with a different one. An answer that arrives later belongs to no call.
     fn handle_release_before_answer(
         &mut self,
         now: Micros,
@@ -647,7 +664,7 @@
         self.end_attempt(now, id, outcome, false, report);
     }
 
-    /// Gives the final answer 'failed' if one is owed, and leaves the attempt that is out alone: its hub has
+    /// Fails the call if its final answer is owed. The open attempt is not given up, because the hub has already
     /// ended it.
     fn fail_without_give_up(&mut self, now: Micros, id: CallId) {
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
@@ -655,7 +672,7 @@
         self.unanswered -= 1;
         let (front, message) = (call.front, ToFront::Fail(call.origin, call.name));
         metrics::CALLS_FAILED.increment();
-        tracing::debug!(call = %call.name, "failed: released without an answer");
+        tracing::debug!(call = %call.name, "call failed: released before its answer");
         self.to_front(front, message);
         self.dispatch(now, Event::Left(id));
     }
@@ -682,34 +699,35 @@
                 self.description_bytes -= call.description.bytes.len();
                 call.description = Description::default();
                 let Some(out) = &call.attempt else { return };
-                let (front, origin, server, copy) = (call.front, call.origin, out.server, out.index);
-                let took = now - out.sent_at;
+                let (front, origin, server, index) = (call.front, call.origin, out.server, out.index);
+                let answer_time = now - out.sent_at;
                 metrics::CALLS_ANSWERED.increment();
-                tracing::debug!(call = %name, attempt = out.number, link = link.0, "stands");
+                tracing::debug!(call = %name, attempt = out.number, link = link.0, "call answered");
                 self.to_front(front, ToFront::Answer(origin, name, description));
-                self.dispatch(now, Event::Stands(id, server, copy, took));
+                self.dispatch(now, Event::Stands(id, server, index, answer_time));
             }
-            // Danger: an answer that crosses the give-up. The hub holds a call that nobody has; it is
-            // released there and never passed on. A give-up still to be written releases it as well.
+            // The answer crossed the give-up, or the call has ended. The hub holds a call without a caller, so
+            // the call is released there and the answer is not passed on. A give-up that is still to be written
+            // releases the call as well.
             _ if id.is_some() || self.ended_calls.contains_key(&name) => {
                 self.to_hub(link, ToHub::Release(name, Cause::NORMAL));
             }
-            // An id that nobody knows comes ahead of what a hub has to say, and means nothing.
+            // An answer for an unknown call has no meaning and is ignored.
             _ => {}
         }
     }
 
-    /// A link saw an attempt end before its call stood.
+    /// Handles the end of an attempt whose call was not established, as reported by its link.
     fn handle_set_up_end(&mut self, now: Micros, name: CallName, attempt: u64, seen: AttemptEnd) {
         let Some((id, out)) = self.open_attempt(name, attempt) else { return };
         let outcome = outcome::outcome_of(seen, false, out.give_up_reason);
-        // One that stands is ended by its hub alone.
+        // Only the hub ends an established call.
         if self.calls.get(&id).is_some_and(|c| !c.established) {
             self.end_attempt(now, id, outcome, false, Report::default());
         }
     }
 
-    /// Cuts the calls that stand at a hub whose process is over.
+    /// Releases the calls that were established at a hub whose process is dead or replaced.
     fn cut_established_calls(&mut self, now: Micros, link: LinkId, index: Option<usize>, why: &'static str) {
         let cut = self.end_attempts_at_link(now, link, |call| call.established);
         let hub = index.map_or("", |index| &*self.hubs[index].uid);
@@ -718,7 +736,8 @@
         }
     }
 
-    /// What a hub had of these calls is over: its process is dead or gone. How many of them stood.
+    /// Ends the selected attempts at a link whose hub process is dead or gone. Returns how many of their calls
+    /// were established.
     fn end_attempts_at_link(&mut self, now: Micros, link: LinkId, which: impl Fn(&Call) -> bool) -> u64 {
         let mut cut = 0;
         let at = self.calls_by_link.range((link, CallId(0))..=(link, CallId(u64::MAX)));
@@ -759,7 +778,7 @@
         self.calls_by_link.remove(&(out.link, id));
         call.established = false;
         call.may_have_run |= !outcome.proves_unrun();
-        tracing::debug!(call = %call.name, attempt = out.number, link = out.link.0, ?outcome, "ended");
+        tracing::debug!(call = %call.name, attempt = out.number, link = out.link.0, ?outcome, "attempt ended");
         if outcome.awaits_release() {
             call.not_before = now + self.limits.release;
         }
@@ -781,7 +800,7 @@
         let name = call.name;
         let Some(out) = call.attempt.as_mut().filter(|o| o.give_up_reason.is_none()) else { return };
         out.give_up_reason = Some(ending);
-        tracing::debug!(call = %name, attempt = out.number, ?ending, "giving up");
+        tracing::debug!(call = %name, attempt = out.number, ?ending, "giving up attempt");
         let (link, number) = (out.link, out.number);
         self.to_hub(link, ToHub::GiveUp(name, number));
     }
@@ -812,10 +831,11 @@
         }
     }
 
-    // ---- the list ----
+    // ---- hub list ----
 
-    /// Where that hub's state is. Danger: hubs are replaced for as long as the program runs; the state of
-    /// the one that has been gone longest makes room for a new one, which gets an id of its own.
+    /// Returns the index of a hub's state and adds the hub if it is new. Hubs are replaced for as long as the
+    /// process runs, so the number of removed hubs must be bounded: at the limit a new hub takes over the slot of
+    /// the hub that was removed first, with an id of its own.
     fn find_or_add_hub(&mut self, hub: &Hub) -> Option<usize> {
         if let Some(index) = self.hub_by_uid.get(&*hub.uid) {
             return Some(*index);
@@ -866,7 +886,7 @@
         for hub in &update.hubs {
             let Some(index) = self.find_or_add_hub(hub) else { continue };
             let state = &mut self.hubs[index];
-            // A start or an address that differs is another process: what the old one had is cut.
+            // A different start time or address means another process: calls at the old one are cut.
             let other = state.born != hub.born && hub.phase == Phase::Up
                 || !hub.endpoint.is_empty() && *state.endpoint != *hub.endpoint;
             if !hub.endpoint.is_empty() {
@@ -875,7 +895,7 @@
             state.place = hub.place;
             state.born = hub.born.or(state.born.filter(|_| hub.phase != Phase::Up));
             if state.phase != hub.phase || other {
-                tracing::debug!(hub = %state.uid, phase = ?hub.phase, endpoint = %state.endpoint, other, "listed");
+                tracing::debug!(hub = %state.uid, phase = ?hub.phase, endpoint = %state.endpoint, other, "hub list entry changed");
             }
             state.phase = hub.phase;
             state.last_listed = self.update_count;
@@ -922,20 +942,22 @@
         self.dispatch(now, Event::List(kind, entries));
     }
 
-    /// A hub that comes into service at an address succeeds whoever had it. Danger: the other's link, with its end
-    /// still to be told, would dial the new process, and take its words for the old one's.
+    /// Removes another hub that had the address of a hub that comes into service. The list may name the end of
+    /// the old hub only later; until then the old link would dial the new process and attribute its messages to
+    /// the old hub.
     fn replace_predecessor(&mut self, now: Micros, index: usize, named: &mut Vec<usize>) {
         let old = self.hub_by_endpoint.get(&self.hubs[index].endpoint).copied();
         if let Some(old) = old.filter(|i| *i != index && !self.hubs[*i].configured) {
-            tracing::debug!(hub = %self.hubs[old].uid, by = %self.hubs[index].uid, "succeeded");
+            tracing::debug!(hub = %self.hubs[old].uid, by = %self.hubs[index].uid, "hub replaced by another at its address");
             self.hubs[old].phase = Phase::Gone;
             self.close_link(now, old);
             named.push(old);
         }
     }
 
-    /// Has a hub's link be as the hub's phase wants it; a phase that is new counts as told since `told`.
-    fn apply_phase(&mut self, now: Micros, index: usize, told: Micros) {
+    /// Opens, closes or restricts a hub's link according to its phase. If the phase is new, it takes effect at
+    /// `effective_since`.
+    fn apply_phase(&mut self, now: Micros, index: usize, effective_since: Micros) {
         if self.hubs[index].phase == Phase::Gone {
             self.close_link(now, index);
         }
@@ -947,23 +969,23 @@
             self.hub_by_link.insert(link, index);
             self.hub_by_endpoint.insert(state.endpoint.clone(), index);
         }
-        let was = state.leaving_since;
+        let previous = state.leaving_since;
         state.leaving_since = match state.phase {
             Phase::Up => None,
-            _ => Some(was.unwrap_or(told)),
+            _ => Some(previous.unwrap_or(effective_since)),
         };
-        if was != state.leaving_since {
+        if previous != state.leaving_since {
             let message = ToHub::SetUpCutoff(state.leaving_since.map(|t| t + self.limits.drain_grace));
             if let Some(link) = state.link.as_ref().map(|l| l.0) {
                 self.to_hub(link, message);
             }
         }
-        if let Some(was) = was {
-            self.removable_hubs.remove(&(was, index));
+        if let Some(previous) = previous {
+            self.removable_hubs.remove(&(previous, index));
         }
         let state = &self.hubs[index];
-        if let Some(told) = state.leaving_since.filter(|_| state.is_removable()) {
-            self.removable_hubs.insert((told, index));
+        if let Some(since) = state.leaving_since.filter(|_| state.is_removable()) {
+            self.removable_hubs.insert((since, index));
         }
     }
 
@@ -974,15 +996,17 @@
             self.hub_by_endpoint.retain(|_, i| *i != index);
             self.closing_links.insert(link);
             self.hubs[index].reported = false;
-            // What stood is over. Danger: a set-up is out until its connection is closed; the link says when.
+            // Established calls end now. A set-up stays open until its connection is closed, which the link
+            // reports.
             let why = if self.hubs[index].phase == Phase::Gone { "gone" } else { "replaced" };
             self.cut_established_calls(now, link, Some(index), why);
         }
     }
 
-    // ---- the module ----
+    // ---- decision module ----
 
-    /// Tells the module, and does what it says; what that leads to at once is told next.
+    /// Passes an event to the decision module and carries out its actions. Events that result from the actions
+    /// are passed to it afterwards, in order.
     fn dispatch(&mut self, now: Micros, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
@@ -992,14 +1016,14 @@
                 match action {
                     Action::Send(id, server, timeout) => {
                         if !self.start_attempt(now, id, server, timeout) {
-                            let copy = self.calls.get_mut(&id).map_or(0, |c| {
+                            let index = self.calls.get_mut(&id).map_or(0, |c| {
                                 c.attempts_sent += 1;
                                 c.attempts_sent - 1
                             });
                             let over = self.calls.get(&id).is_none_or(|c| c.answered);
                             events.push_back(Event::Ended(End {
                                 id,
-                                attempt: copy,
+                                attempt: index,
                                 server,
                                 outcome: Outcome::Void,
                                 over,
@@ -1009,23 +1033,24 @@
                         }
                     }
                     Action::Refuse(..) | Action::Fail(_) => self.give_final_answer(now, action),
-                    Action::Cancel(id, copy) => {
+                    Action::Cancel(id, index) => {
                         let out =
                             self.calls.get(&id).filter(|c| !c.established).and_then(|c| c.attempt.as_ref());
-                        if out.is_some_and(|o| o.index == copy) {
+                        if out.is_some_and(|o| o.index == index) {
                             self.give_up(id, Outcome::Withdrawn);
                         }
                     }
                     Action::Timer(at, token) => self.timers.add(at, TimerEvent::Module(token)),
-                    // Session controllers have no way to talk to each other, and the list comes unasked.
+                    // Session controllers cannot send each other these messages, and list changes arrive without a
+                    // subscription.
                     Action::Tell(..) | Action::Watch => {}
                 }
             }
         }
     }
 
-    /// Starts an attempt, unless a rule forbids it: the module's gate keeps the rules, and this
-    /// guards them against its bugs and against what happened while its decision was made.
+    /// Starts an attempt unless a rule forbids it. The decision module follows the rules itself; the checks here
+    /// protect against its bugs and against changes that happened while it decided.
     fn start_attempt(&mut self, now: Micros, id: CallId, server: ServerId, timeout: Micros) -> bool {
         let hub = self.hub_by_id.get(&server).and_then(|i| self.hubs.get(*i));
         let Some((hub, (link, sender))) = hub.and_then(|h| h.link.as_ref().map(|l| (h, l))) else {
@@ -1042,7 +1067,7 @@
             || until <= now
             || call.attempts_sent >= self.max_attempts
         {
-            tracing::debug!(call = %call.name, hub = %hub.uid, drained, sent = call.attempts_sent, "not sent: a rule forbids it");
+            tracing::debug!(call = %call.name, hub = %hub.uid, drained, sent = call.attempts_sent, "attempt not sent: a rule forbids it");
             return false;
         }
         self.last_attempt += 1;
@@ -1060,7 +1085,7 @@
         }
         metrics::ATTEMPTS.increment();
         metrics::RETRIES.add(u64::from(call.attempts_sent > 0));
-        tracing::debug!(call = %call.name, attempt = number, link = link.0, hub = %hub.uid, copy = call.attempts_sent, "sent");
+        tracing::debug!(call = %call.name, attempt = number, link = link.0, hub = %hub.uid, copy = call.attempts_sent, "attempt sent");
         call.attempt = Some(Attempt {
             link: *link,
             server,
@@ -1076,7 +1101,8 @@
         true
     }
 
-    /// Gives a final answer, once. Danger: 'refused' tells a caller that nothing ran, and that it may dial again.
+    /// Gives a call its final answer, once. A refusal tells the caller that nothing ran and that it may dial
+    /// again, so a call that may have run and must not run twice is failed instead.
     fn give_final_answer(&mut self, now: Micros, action: Action) {
         let (Action::Refuse(id, _) | Action::Fail(id)) = action else { return };
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
@@ -1085,7 +1111,7 @@
         call.answered = true;
         self.unanswered -= 1;
         let (front, origin, name) = (call.front, call.origin, call.name);
-        tracing::debug!(call = %name, refused = matches!(action, Action::Refuse(..)), "answered");
+        tracing::debug!(call = %name, refused = matches!(action, Action::Refuse(..)), "call ended without an answer");
         let message = match action {
             Action::Refuse(_, away) => {
                 metrics::CALLS_REFUSED.increment();
@@ -1104,7 +1130,7 @@
     fn to_front(&self, front: FrontId, message: ToFront) {
         let Some(sender) = self.fronts.get(front.0) else { return };
         if let Err(mpsc::error::TrySendError::Full(lost)) = sender.try_send(message) {
-            tracing::error!(front = front.0, "the front takes nothing, lost {lost:?}");
+            tracing::error!(front = front.0, "message queue of the front is full, dropped {lost:?}");
         }
     }
 
@@ -1112,12 +1138,13 @@
         let hub = self.hub_by_link.get(&link).and_then(|i| self.hubs.get(*i));
         let Some((_, sender)) = hub.and_then(|h| h.link.as_ref()) else { return };
         if let Err(mpsc::error::TrySendError::Full(lost)) = sender.try_send(message) {
-            tracing::error!(link = link.0, "the hub's link takes nothing, lost {lost:?}");
+            tracing::error!(link = link.0, "command queue of the hub link is full, dropped {lost:?}");
         }
     }
 }
 
-/// The number called, as the module knows it: its hex digits, or a hash of other text.
+/// Maps the number called to the key that the decision module uses: the value of its hexadecimal digits, or an
+/// FNV-1a hash of any other text.
 fn number_key(text: &str) -> Option<u64> {
     let hash = |t: &str| {
         t.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
@@ -1125,44 +1152,46 @@
     Some(text).filter(|t| !t.is_empty()).map(|t| u64::from_str_radix(t, 16).unwrap_or_else(|_| hash(t)))
 }
 
-/// Danger: where the processor is short, a set-up may wait here while its caller leaves. Taken one by one, it
-/// would be sent on for nobody. Takes out the set-ups that are withdrawn later in the same turn, and puts the
-/// withdrawals first: those ahead of a new set-up of the same name stay there.
-fn drop_withdrawn_offers(turn: &mut Vec<Input>) {
+/// Removes the set-ups that are withdrawn later in the same batch, and moves the withdrawals to the front. A
+/// withdrawal that precedes a new set-up of the same name stays ahead of it.
+///
+/// Under CPU load a set-up may wait in the queue while its caller leaves. Handled one by one, it would be sent
+/// to a hub although no caller waits for it.
+fn drop_withdrawn_offers(batch: &mut Vec<Input>) {
     let key = |front: FrontId, origin: Origin, call: CallName| (front.0, origin.0, call);
-    let mut gone = HashSet::new();
-    for input in turn.iter() {
+    let mut withdrawn = HashSet::new();
+    for input in batch.iter() {
         if let Input::Withdrawn(front, origin, call) = input {
-            gone.insert(key(*front, *origin, *call));
+            withdrawn.insert(key(*front, *origin, *call));
         }
     }
-    if gone.is_empty() {
+    if withdrawn.is_empty() {
         return;
     }
-    // From the last on: one that was withdrawn before, and comes again after that, stays.
-    let mut left = HashSet::new();
-    let mut keep: Vec<bool> = turn
+    // Iterates backwards, so that a set-up offered again after its withdrawal is kept.
+    let mut withdrawn_later = HashSet::new();
+    let mut keep: Vec<bool> = batch
         .iter()
         .rev()
         .map(|input| match input {
             Input::Withdrawn(front, origin, call) => {
-                left.insert(key(*front, *origin, *call));
+                withdrawn_later.insert(key(*front, *origin, *call));
                 true
             }
-            Input::Offer(o) => !left.remove(&key(o.front, o.origin, o.call)),
+            Input::Offer(o) => !withdrawn_later.remove(&key(o.front, o.origin, o.call)),
             _ => true,
         })
         .collect();
-    turn.retain(|_| keep.pop().unwrap_or(true));
-    // What else is in the turn may lead to a further attempt of a call that is withdrawn in it.
-    turn.sort_by_key(|input| !matches!(input, Input::Withdrawn(..)));
+    batch.retain(|_| keep.pop().unwrap_or(true));
+    // Another input of the batch could otherwise start a further attempt of a call that the batch withdraws.
+    batch.sort_by_key(|input| !matches!(input, Input::Withdrawn(..)));
 }
 
-/// Runs the core until every sender of its queue is gone.
+/// Runs the core until every sender of its queue is dropped.
 ///
-/// Danger: where the processor is short, a timer that is due is seen before the sockets are, and what came there long
-/// before would be handled after what the timer leads to. So the sockets are read before a tick, and all that waits is
-/// taken together, departures first.
+/// Under CPU load a due timer may be seen before the sockets are polled, and an input that arrived long before
+/// would be handled after the effects of the timer. So the sockets are read before a tick, and all waiting inputs
+/// are taken as one batch, withdrawals first.
 pub async fn run(mut core: Core, mut inputs: mpsc::Receiver<Input>, clock: Clock) {
     let mut ticks = tokio::time::interval(Duration::from_micros(TICK_LENGTH.0));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -1178,7 +1207,7 @@
             }
         };
         if ticked {
-            // It goes on once the runtime has polled the sockets and run the tasks that these woke.
+            // Resumes after the runtime has polled the sockets and run the tasks that they woke.
             tokio::task::yield_now().await;
         }
         while waiting.len() < INPUT_QUEUE_CAPACITY {
--- a/src/core/outcome.rs
+++ b/src/core/outcome.rs
@@ -1,53 +1,57 @@
-//! How an attempt can end and what that proves, in one table. Links say what they saw; what it means for
-//! the call, and whether the set-up may have run, is looked up here and nowhere else.
+//! Maps each way in which an attempt can end to its outcome.
 //!
-//! | seen | before the call stands | once it stands | may have run | pause |
+//! Links report what they observed ([`AttemptEnd`]). What that means for the call, and whether the set-up may have
+//! run, is decided only here:
+//!
+//! | observed | before the call is established | once it is established | may have run | pause |
 //! | --- | --- | --- | --- | --- |
-//! | release, cause 34 | no circuit, or with the note `throttled` processor full | cut | no | no |
-//! | release, cause 102 | moot: it never left | cut | no | no |
+//! | release, cause 34 | no circuit, or processor full with the note `throttled` | cut | no | no |
+//! | release, cause 102 | void: it was never sent | cut | no | no |
 //! | release, cause 41 | broken | cut | yes | yes |
-//! | release ahead of its answer, cause 16 | the end; the call is failed | – | yes | no |
-//! | release ahead of its answer, cause 41 | broken; the call is failed | – | yes | yes |
-//! | release, any other cause | failure | the end (16, 31), else cut | yes | no |
-//! | give-up written | what it was given up for | – | yes | yes |
-//! | taken back before its first byte | never sent on | – | no | no |
-//! | its connection lost after its first byte | broken, or what it was given up for | cut | yes | yes |
-//! | no connection came up for it | never sent on | – | no | no |
-//! | not sent: the hub drains | never sent on | – | no | no |
-//! | not sent: its time was up | moot | – | no | no |
-//! | its hub dead or replaced | broken, once its connection is closed | cut | yes | yes |
+//! | release before its answer, cause 16 | success; the call is failed | – | yes | no |
+//! | release before its answer, cause 41 | broken; the call is failed | – | yes | yes |
+//! | release, any other cause | failure | success (16, 31), else cut | yes | no |
+//! | give-up written | the reason of the give-up | – | yes | yes |
+//! | cancelled before its first byte | unreachable | – | no | no |
+//! | connection lost after its first byte | broken, or the reason of the give-up | cut | yes | yes |
+//! | no connection established | unreachable | – | no | no |
+//! | not sent: the hub drains | unreachable | – | no | no |
+//! | not sent: it expired | void | – | no | no |
+//! | hub dead or replaced | broken, once its connection is closed | cut | yes | yes |
 //!
-//! Whatever is not proven not to have run may have run; a set-up of which one byte went out is not proven.
+//! A set-up may have run unless the end proves that it did not. As soon as one byte of it was written, there is no
+//! such proof.
 
 use super::types::{Cause, RefusalNote};
 use crate::interface::Outcome;
 
-/// What a link saw of an attempt's end.
+/// The end of an attempt as observed by a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The hub refused it, or released the call.
+    /// The hub refused the set-up or released the call.
     Released(Cause, RefusalNote),
-    /// The hub released a call that stood, or may have stood, ahead of its answer.
+    /// The hub released a call before its answer arrived; the call was, or may have been, established.
     ReleasedUnanswered(Cause),
-    /// The give-up is written.
+    /// The give-up was written.
     GivenUp,
-    /// It was taken back before its first byte.
+    /// The set-up was cancelled before its first byte was written.
     CancelledUnsent,
-    /// Its connection was lost, or closed, after its first byte.
+    /// The connection was lost or closed after the first byte was written.
     ConnectionLost,
-    /// No connection came up.
+    /// No connection was established.
     Unreachable,
-    /// The hub drains, and its first byte was still to go.
+    /// The hub started to drain before the first byte was written.
     NotSentDraining,
-    /// Its time was up before its first byte.
+    /// The set-up expired before its first byte was written.
     NotSentExpired,
 }
 
-/// How an attempt ended. `ending`: what it was being given up for, if it was. `standing`: its call stood.
-pub fn outcome_of(seen: AttemptEnd, standing: bool, ending: Option<Outcome>) -> Outcome {
-    match seen {
-        AttemptEnd::Released(Cause::NORMAL | Cause(31), _) if standing => Outcome::Success,
-        _ if standing => Outcome::Broken,
+/// Returns the outcome of an attempt. `established` tells whether its call was established, and `give_up_reason` why
+/// the attempt was being given up, if it was.
+pub fn outcome_of(end: AttemptEnd, established: bool, give_up_reason: Option<Outcome>) -> Outcome {
+    match end {
+        AttemptEnd::Released(Cause::NORMAL | Cause(31), _) if established => Outcome::Success,
+        _ if established => Outcome::Broken,
         AttemptEnd::ReleasedUnanswered(Cause::NORMAL) => Outcome::Success,
         AttemptEnd::ReleasedUnanswered(_) => Outcome::Broken,
         AttemptEnd::Released(Cause::NO_CIRCUIT, RefusalNote::Throttled) => Outcome::ProcessorFull,
@@ -55,9 +59,9 @@
         AttemptEnd::Released(Cause::TIMER_EXPIRY, _) => Outcome::Void,
         AttemptEnd::Released(Cause::TEMPORARY_FAILURE, _) => Outcome::Broken,
         AttemptEnd::Released(..) => Outcome::Failure,
-        AttemptEnd::GivenUp => ending.unwrap_or(Outcome::Withdrawn),
-        // What was decided first counts.
-        AttemptEnd::ConnectionLost => ending.unwrap_or(Outcome::Broken),
+        AttemptEnd::GivenUp => give_up_reason.unwrap_or(Outcome::Withdrawn),
+        // A give-up that was decided before the connection was lost determines the outcome.
+        AttemptEnd::ConnectionLost => give_up_reason.unwrap_or(Outcome::Broken),
         AttemptEnd::CancelledUnsent | AttemptEnd::Unreachable | AttemptEnd::NotSentDraining => {
             Outcome::Unreachable
         }
--- a/src/core/outcome/tests.rs
+++ b/src/core/outcome/tests.rs
@@ -1,9 +1,9 @@
-//! Each row of the table of ends.
+//! Checks the outcome of every kind of attempt end.
 
 use super::*;
 
 #[test]
-fn each_row_of_the_table() {
+fn every_attempt_end_has_its_outcome_and_proof_of_not_having_run() {
     let released = |cause, note| AttemptEnd::Released(Cause(cause), note);
     let rows = [
         (released(34, RefusalNote::None), Outcome::Overloaded, Outcome::Broken, false, false),
@@ -26,20 +26,20 @@
         (AttemptEnd::NotSentDraining, Outcome::Unreachable, Outcome::Broken, false, false),
         (AttemptEnd::NotSentExpired, Outcome::Void, Outcome::Broken, false, false),
     ];
-    for (seen, before, after, may_have_run, pause) in rows {
-        assert_eq!(outcome_of(seen, false, None), before, "{seen:?}");
-        assert_eq!(outcome_of(seen, true, None), after, "{seen:?}");
-        assert_eq!(!before.proves_unrun(), may_have_run, "{seen:?}");
-        assert_eq!(before.awaits_release(), pause, "{seen:?}");
+    for (end, before, after, may_have_run, pause) in rows {
+        assert_eq!(outcome_of(end, false, None), before, "{end:?}");
+        assert_eq!(outcome_of(end, true, None), after, "{end:?}");
+        assert_eq!(!before.proves_unrun(), may_have_run, "{end:?}");
+        assert_eq!(before.awaits_release(), pause, "{end:?}");
     }
-    for ending in [Outcome::TimedOut, Outcome::Withdrawn] {
-        assert_eq!(outcome_of(AttemptEnd::GivenUp, false, Some(ending)), ending);
+    for reason in [Outcome::TimedOut, Outcome::Withdrawn] {
+        assert_eq!(outcome_of(AttemptEnd::GivenUp, false, Some(reason)), reason);
         assert_eq!(
-            outcome_of(AttemptEnd::ConnectionLost, false, Some(ending)),
-            ending,
-            "what was decided first counts"
+            outcome_of(AttemptEnd::ConnectionLost, false, Some(reason)),
+            reason,
+            "the earlier decision to give up counts"
         );
-        assert_eq!(outcome_of(AttemptEnd::CancelledUnsent, false, Some(ending)), Outcome::Unreachable);
-        assert!(ending.awaits_release() && !ending.proves_unrun());
+        assert_eq!(outcome_of(AttemptEnd::CancelledUnsent, false, Some(reason)), Outcome::Unreachable);
+        assert!(reason.awaits_release() && !reason.proves_unrun());
     }
 }
--- a/src/core/timer_wheel.rs
+++ b/src/core/timer_wheel.rs
@@ -1,42 +1,44 @@
-//! A timer wheel with coarse ticks: one turn of slots, and rounds for what lies further off.
+//! A timer wheel with coarse ticks. Items further away than one turn stay in their slot for several turns.
 
 use crate::interface::Micros;
 
 /// Length of a tick.
 pub const TICK_LENGTH: Micros = Micros(5_000);
+/// Number of slots, so that one turn takes 5.12 s.
 const SLOT_COUNT: usize = 1024;
 
-/// Items that come due, each at the first tick at or past its time.
+/// Timer wheel. Each item comes due at the first tick at or after its time.
 #[derive(Debug)]
 pub struct TimerWheel<T> {
     slots: Vec<Vec<(u64, T)>>,
-    /// The tick that is handed out next.
+    /// The first tick that has not been processed yet.
     next: u64,
-    held: usize,
+    len: usize,
 }
 
 impl<T> TimerWheel<T> {
-    /// An empty wheel whose first tick is the one after `now`.
+    /// Creates an empty wheel. Its first tick is the one that contains `now`.
     pub fn new(now: Micros) -> TimerWheel<T> {
         TimerWheel {
             slots: (0..SLOT_COUNT).map(|_| Vec::new()).collect(),
             next: now.0 / TICK_LENGTH.0,
-            held: 0,
+            len: 0,
         }
     }
 
-    /// Puts an item in; one whose time has passed comes due at the next tick.
+    /// Adds an item. If its time has passed, it comes due at the next tick.
     pub fn add(&mut self, at: Micros, item: T) {
         let tick = at.0.div_ceil(TICK_LENGTH.0).max(self.next);
         self.slots[(tick % SLOT_COUNT as u64) as usize].push((tick, item));
-        self.held += 1;
+        self.len += 1;
     }
 
-    /// Takes out what is due, tick by tick, in the order in which it was put in.
+    /// Removes and returns the items that are due, slot by slot and in insertion order within a slot.
     pub fn advance(&mut self, now: Micros) -> Vec<T> {
         let last = now.0 / TICK_LENGTH.0;
         let mut due = Vec::new();
-        // After a stop of the clock longer than a turn every slot is looked at once, not each tick.
+        // If more than one turn has passed since the last call, each slot is visited once rather than once per
+        // tick.
         let first = self.next.max((last + 1).saturating_sub(SLOT_COUNT as u64));
         for tick in first..=last {
             let slot = &mut self.slots[(tick % SLOT_COUNT as u64) as usize];
@@ -52,18 +54,18 @@
             }
         }
         self.next = self.next.max(last + 1);
-        self.held -= due.len();
+        self.len -= due.len();
         due
     }
 
-    /// How many items wait.
+    /// Returns the number of waiting items.
     pub fn len(&self) -> usize {
-        self.held
+        self.len
     }
 
-    /// Whether nothing waits.
+    /// Whether no item is waiting.
     pub fn is_empty(&self) -> bool {
-        self.held == 0
+        self.len == 0
     }
 }
 
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -1,35 +1,35 @@
-//! What the core and the socket code tell each other. No wire stands here: names are opaque, and
-//! causes are Q.850's, which all the wires share.
+//! Messages between the core and the socket code. They are independent of the wire protocols: names are opaque,
+//! and causes are those of Q.850, which all protocols share.
 
 use crate::interface::{Micros, Report};
 use bytes::Bytes;
 use std::fmt;
 use std::sync::Arc;
 
-/// A call's name on the wires, the same on every leg.
+/// Name of a call in the wire protocols, the same on every leg of the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallName(pub u64);
 
-/// As the wires write it, for the logs.
+/// Formats the name as the wire protocols write it, for the logs.
 impl fmt::Display for CallName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-/// One life of a hub: a new one starts when its address or its start changes.
+/// Identifies the link to one hub process. A hub whose address or start time changes gets a new link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
-/// Where in its front a call came in; the core only hands it back.
+/// Where a call came in within its front, such as a connection. The core only passes it back to the front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Origin(pub u64);
 
-/// Which front a call came in at.
+/// Identifies the front at which a call came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrontId(pub usize);
 
-/// A Q.850 cause.
+/// A Q.850 cause value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cause(pub u8);
 
@@ -48,35 +48,35 @@
     pub const TIMER_EXPIRY: Cause = Cause(102);
 }
 
-/// What a hub adds to a refusal.
+/// Detail that a hub adds to a refusal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RefusalNote {
-    /// Nothing.
+    /// No detail.
     #[default]
     None,
-    /// No circuit.
+    /// No circuit is available.
     Congestion,
-    /// The processor is full.
+    /// The hub's processor is overloaded.
     Throttled,
-    /// Every line of the number is busy.
+    /// Every line of the called number is busy.
     NumberBusy,
 }
 
-/// A session's description: opaque here, and understood only by wires of the same form.
+/// A session description. It is opaque to the core, and only protocols that use the same format understand it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Description {
-    /// The form's name.
+    /// Name of the format.
     pub format: &'static str,
     /// The description itself, passed on unchanged.
     pub bytes: Bytes,
 }
 
-/// A caller's set-up.
+/// A set-up from a caller.
 #[derive(Clone, Debug)]
 pub struct Offer {
-    /// At which front it came in.
+    /// The front at which it came in.
     pub front: FrontId,
-    /// Where in that front.
+    /// Where in that front it came in.
     pub origin: Origin,
     /// The call's name.
     pub call: CallName,
@@ -86,148 +86,148 @@
     pub number: Arc<str>,
     /// The place of first choice.
     pub place: i64,
-    /// When the caller stops waiting; `None`: it did not say, and is taken to wait as long as its class does.
+    /// When the caller stops waiting. If `None`, the deadline of the class applies.
     pub deadline: Option<Micros>,
-    /// The caller dials again.
+    /// The caller repeats an earlier try.
     pub repeat: bool,
-    /// The call stood, was cut and comes again.
+    /// The call was established before, was cut, and is set up again.
     pub returned: bool,
     /// The session's description.
     pub description: Description,
 }
 
-/// A set-up towards a hub.
+/// A set-up to be sent to a hub.
 #[derive(Clone, Debug)]
 pub struct SetUp {
-    /// The call.
+    /// The call's name.
     pub call: CallName,
-    /// The attempt's own number, never used twice.
+    /// Number of the attempt, unique within this process.
     pub attempt: u64,
     /// The class's name.
     pub class: Arc<str>,
     /// The number called.
     pub number: Arc<str>,
-    /// When the answer is given up.
+    /// Time until which an answer is waited for.
     pub until: Micros,
     /// The session's description.
     pub description: Description,
 }
 
-/// What the core has a hub's link do.
+/// Commands from the core to the link of a hub.
 #[derive(Clone, Debug)]
 pub enum ToHub {
     /// Start a set-up.
     SetUp(SetUp),
-    /// Give a set-up up; [`FromHub::GivenUp`] answers it.
+    /// Give up a set-up; the link confirms with [`FromHub::GivenUp`].
     GiveUp(CallName, u64),
-    /// Release a call that stands, or an answer that came too late.
+    /// Release an established call, or a call whose answer came too late.
     Release(CallName, Cause),
-    /// No set-up may begin after this time; `None`: they may again.
+    /// Start no set-up after this time; `None` lifts the restriction.
     SetUpCutoff(Option<Micros>),
-    /// A media frame of a call that stands.
+    /// A media frame of an established call.
     Media(CallName, Description),
-    /// The hub is gone: end all. What is open is settled, then [`FromHub::Closed`] comes.
+    /// The hub is gone: end everything. The link reports the end of each open set-up, then [`FromHub::Closed`].
     Close,
 }
 
-/// What a hub's link tells the core.
+/// Events from the link of a hub to the core.
 #[derive(Clone, Debug)]
 pub enum FromHub {
-    /// An answer.
+    /// The hub answered a set-up.
     Answered(CallName, Description),
-    /// A refusal, or the release of a call that stands.
+    /// The hub refused a set-up or released an established call.
     Released(CallName, Cause, RefusalNote, Report),
-    /// The release of a set-up whose answer has not come, with a cause by which the call stood, or may have
-    /// stood, at the hub: it is over there, and an answer may still come.
+    /// The hub released a set-up that it has not answered, with a cause which means that the call was, or may
+    /// have been, established. The call is over at the hub, and an answer may still arrive.
     ReleasedUnanswered(CallName, Cause, Report),
-    /// A give-up is written (`began`), or the set-up was taken back before its first byte.
+    /// A give-up was written to the socket, or the set-up was cancelled before its first byte was written.
     GivenUp {
-        /// Which attempt.
+        /// The attempt's number.
         attempt: u64,
-        /// The call.
+        /// The call's name.
         call: CallName,
-        /// Whether the set-up had begun on the socket.
+        /// Whether the first byte of the set-up had been written.
         began: bool,
     },
-    /// The connection broke with this set-up open.
+    /// The connection was lost while this set-up was open.
     ConnectionLost(CallName, u64),
-    /// No connection came up: the set-up never ran.
+    /// No connection was established: the set-up never ran.
     Unreachable(CallName, u64),
-    /// The set-up's time was up, or the hub drains, before its first byte: it never ran.
+    /// The set-up expired, or the hub started to drain, before its first byte was written: it never ran.
     NotSent(CallName, u64),
-    /// The link ends as it was told to, its connections are closed, and all its set-ups are settled.
+    /// The link has ended as commanded: its connections are closed, and the end of each set-up was reported.
     Closed,
-    /// The state of the hub.
+    /// A load report of the hub.
     LoadReport(Report),
-    /// The hub's process is dead, and the calls that stood there are cut. Set-ups that were open are told of
-    /// one by one, each as it was settled.
+    /// The hub's process is dead, and its established calls are cut. The end of each open set-up is reported
+    /// separately.
     Dead,
-    /// A media frame of a call that stands.
+    /// A media frame of an established call.
     Media(CallName, Description),
 }
 
-/// What the core tells a front.
+/// Messages from the core to a front.
 #[derive(Clone, Debug)]
 pub enum ToFront {
-    /// The call stands.
+    /// The call was answered.
     Answer(Origin, CallName, Description),
-    /// Refused; the caller should stay away so long, if more than nought.
+    /// The call was refused. A time greater than 0 tells the caller how long to wait before the next try.
     Refuse(Origin, CallName, Micros),
-    /// Failed.
+    /// The call failed.
     Fail(Origin, CallName),
-    /// A call that stood is over. Without an origin the call is one from before this start.
+    /// An established call is over. The origin is `None` if the call was set up before this process started.
     Release(Option<Origin>, CallName, Cause),
     /// A media frame.
     Media(Origin, CallName, Description),
 }
 
-/// A hub as a list names it.
+/// A hub as described by a hub list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hub {
-    /// Its name.
+    /// The hub's unique name.
     pub uid: String,
-    /// Its address, opaque here.
+    /// The hub's address; not interpreted here.
     pub endpoint: String,
-    /// Its place.
+    /// The hub's place.
     pub place: i64,
-    /// Its phase.
+    /// The hub's phase.
     pub phase: crate::interface::Phase,
-    /// Its late start, if any.
+    /// Time of the hub's latest start, if it was recent.
     pub born: Option<Micros>,
 }
 
-/// News of the list of hubs.
+/// An update of the list of hubs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HubListUpdate {
-    /// The whole list, not only what has changed.
+    /// Whether this is the full list rather than only its changed entries.
     pub full: bool,
-    /// The hubs named.
+    /// The hubs of the update.
     pub hubs: Vec<Hub>,
-    /// Since when this counts as told, at the earliest: it may have been in the change log for a while.
+    /// Earliest time at which the update took effect; it may have been in the change log for a while.
     pub effective_since: Micros,
-    /// The change log's event; nought: of no change log.
+    /// Sequence number of the change-log event; 0 if the update does not come from a change log.
     pub seq: u64,
 }
 
-/// All that reaches the core.
+/// Inputs of the core.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A set-up.
+    /// A set-up from a caller.
     Offer(Offer),
-    /// The caller gave its set-up up, or its connection is lost.
+    /// The caller gave up its set-up, or its connection was lost.
     Withdrawn(FrontId, Origin, CallName),
-    /// The caller releases a call that stands.
+    /// The caller releases an established call.
     Hangup(FrontId, CallName, Cause),
-    /// A caller's media frame.
+    /// A media frame from a caller.
     Media(FrontId, CallName, Description),
-    /// Something from a hub.
+    /// An event from the link of a hub.
     Hub(LinkId, FromHub),
-    /// The program is to end: what is still open at this time is refused.
+    /// The process is shutting down: set-ups still open at this time are refused.
     Shutdown(Micros),
-    /// News of the list.
+    /// An update of the list of hubs.
     HubList(HubListUpdate),
-    /// The change log was asked and has no more to tell than what came before this.
+    /// The change log was queried, and all its events up to now precede this input.
     ChangeLogCurrent,
-    /// The program is about to end: what is believed is to be handed out now.
+    /// The process is about to end: export the learned state now.
     ExportState,
 }
--- a/src/fleet/task.rs
+++ b/src/fleet/task.rs
@@ -5,7 +5,7 @@
 use super::view::{Event, News, Out, Seen, Setup, View};
 use super::wire::{Identity, DATAGRAM_MOST};
 use crate::config::Fleet;
-use crate::core::{Clock, LoadFigures};
+use crate::core::{Clock, LoadSummary};
 use crate::interface::Micros;
 use std::io;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
     name: &str,
     seed: u64,
     clock: Clock,
-    figures: watch::Receiver<LoadFigures>,
+    figures: watch::Receiver<LoadSummary>,
 ) -> io::Result<(Leave, Snapshots)> {
     let socket = UdpSocket::bind(fleet.listen)
         .await
@@ -74,7 +74,7 @@
         view: View::new(setup, clock.now()),
         clock,
         figures,
-        last: (clock.now(), LoadFigures::default()),
+        last: (clock.now(), LoadSummary::default()),
         snapshots,
         next: clock.now(),
         said: (clock.now(), 0),
@@ -88,9 +88,9 @@
     socket: UdpSocket,
     view: View,
     clock: Clock,
-    figures: watch::Receiver<LoadFigures>,
+    figures: watch::Receiver<LoadSummary>,
     /// The figures stated last, and when.
-    last: (Micros, LoadFigures),
+    last: (Micros, LoadSummary),
     snapshots: watch::Sender<Arc<Snapshot>>,
     /// When facts are stated and the view is handed on next.
     next: Micros,
--- a/src/learning/encoding.rs
+++ b/src/learning/encoding.rs
@@ -1,21 +1,22 @@
-//! The form of a [`LearnedState`] on disk: JSON in a snapshot, one module a version. A new version adds a module and
-//! a step from the one before; what stands is not touched. `docs/FORMAT.md` describes each.
+//! On-disk encoding of a [`LearnedState`]: JSON in a snapshot, with one module per version.
+//!
+//! A new version adds a module and a migration from the version before it; the older modules do not change.
 
 use super::{Identity, LearnedHub, LearnedState};
 use crate::interface::{Belief, Micros};
 use miniserde::{json, Deserialize, Serialize};
 
-/// The kind of these snapshots.
+/// Snapshot kind of the learned state.
 pub const KIND: u16 = 1;
-/// The version that is written.
+/// Version that is written.
 pub const VERSION: u16 = 2;
 
-/// Version 1: one age for all.
+/// Version 1: one age for all hubs.
 mod v1 {
     use super::*;
 
     #[derive(Serialize, Deserialize)]
-    pub struct Form {
+    pub struct Document {
         pub at: u64,
         pub hold: f64,
         pub hubs: Vec<Hub>,
@@ -40,13 +41,13 @@
     }
 }
 
-/// Version 2: each hub has an age of its own, and what it last said that it can take is kept apart from what
-/// it is held to carry.
+/// Version 2: each hub has its own age, and the rate that the hub last reported it can take is stored separately
+/// from the rate that it is estimated to carry.
 mod v2 {
     use super::*;
 
     #[derive(Serialize, Deserialize)]
-    pub struct Form {
+    pub struct Document {
         pub at: u64,
         pub hold: f64,
         pub hubs: Vec<Hub>,
@@ -72,9 +73,10 @@
         pub cold_until: u64,
     }
 
-    /// From version 1: all was as old as the file, and no rate that a cold processor may be brought was kept.
-    impl From<v1::Form> for Form {
-        fn from(old: v1::Form) -> Form {
+    /// Migration from version 1: all hubs are as old as the file, and the rate that a cold hub may be sent was not
+    /// stored.
+    impl From<v1::Document> for Document {
+        fn from(old: v1::Document) -> Document {
             let hub = |h: v1::Hub| Hub {
                 uid: h.uid,
                 endpoint: h.endpoint,
@@ -93,7 +95,7 @@
                 silent: h.silent,
                 cold_until: h.cold_until,
             };
-            Form { at: old.at, hold: old.hold, hubs: old.hubs.into_iter().map(hub).collect() }
+            Document { at: old.at, hold: old.hold, hubs: old.hubs.into_iter().map(hub).collect() }
         }
     }
 
@@ -150,27 +152,28 @@
 
 use v2 as latest;
 
-/// Writes a picture in the latest form.
-pub fn encode(picture: &LearnedState) -> Vec<u8> {
-    let hubs = picture.hubs.iter().map(latest::Hub::from).collect();
-    json::to_string(&latest::Form { at: picture.at.0, hold: picture.hold, hubs }).into_bytes()
+/// Encodes a learned state in the latest version.
+pub fn encode(learned: &LearnedState) -> Vec<u8> {
+    let hubs = learned.hubs.iter().map(latest::Hub::from).collect();
+    json::to_string(&latest::Document { at: learned.at.0, hold: learned.hold, hubs }).into_bytes()
 }
 
-/// Reads a picture in any form up to the latest.
+/// Decodes a learned state of any version up to the latest.
 ///
 /// # Errors
-/// What is wrong with it, where it is of a later version or no such JSON.
+/// Returns a description of the fault if the version is later than the latest one, or the payload is not valid JSON
+/// of its version.
 pub fn decode(version: u16, payload: &[u8]) -> Result<LearnedState, String> {
-    let text = std::str::from_utf8(payload).map_err(|_| "its payload is no text".to_string())?;
-    let wrong = |_| format!("its payload is not of version {version}");
-    let form: latest::Form = match version {
-        1 => json::from_str::<v1::Form>(text).map_err(wrong)?.into(),
-        2 => json::from_str(text).map_err(wrong)?,
+    let text = std::str::from_utf8(payload).map_err(|_| "its payload is not valid UTF-8".to_string())?;
+    let invalid = |_| format!("its payload is not valid JSON of version {version}");
+    let document: latest::Document = match version {
+        1 => json::from_str::<v1::Document>(text).map_err(invalid)?.into(),
+        2 => json::from_str(text).map_err(invalid)?,
         later => return Err(format!("its payload is of the later version {later}")),
     };
     Ok(LearnedState {
-        at: Micros(form.at),
-        hold: form.hold,
-        hubs: form.hubs.into_iter().map(LearnedHub::from).collect(),
+        at: Micros(document.at),
+        hold: document.hold,
+        hubs: document.hubs.into_iter().map(LearnedHub::from).collect(),
     })
 }
--- a/src/learning/mod.rs
+++ b/src/learning/mod.rs
@@ -1,8 +1,9 @@
-//! What is worth keeping of the module's beliefs over a restart, and how much it remaining_weight when it is read.
+//! State that the decision module has learned about hubs, saved across restarts.
 //!
-//! It knows no disk and reads no clock. A [`LearnedState`] is what is kept; [`encode`] and [`decode`] give it its
-//! form, of which old ones are read through a chain of migrations. A [`RestoredState`] is a picture that was read: it
-//! hands out each hub's belief once, to the same process alone, and for less the older it is.
+//! This module does no I/O and reads no clock. A [`LearnedState`] is what is saved; [`encode`] and [`decode`]
+//! convert it to and from bytes, and old versions are read through a chain of migrations. A [`RestoredState`] is a
+//! learned state that was read back: it returns the belief about each hub once, only for the same hub process, and
+//! decayed according to its age.
 
 mod encoding;
 
@@ -12,66 +13,68 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Hubs in a picture at most: as many as the core may know.
+/// Maximum number of hubs in a learned state, the same as the core's limit of known hubs.
 pub const MAX_HUBS: usize = 4096;
-/// A hub's name or address is no longer, in bytes.
+/// Maximum length of a hub's name or address, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// A kept time so far ahead of the clock is still taken for now: clocks are set a little at a time.
+/// Saved times up to this far ahead of the clock are accepted as current, because clocks are corrected in small
+/// steps.
 const MAX_CLOCK_LEAD: Micros = Micros(500_000);
-/// No hub carries more set-ups a second, and no weight or share is over 1: such figures are absurd.
+/// Maximum plausible rate of set-ups of a hub, per second. Beliefs with higher rates are dropped.
 const MAX_SET_UPS_PER_SECOND: f64 = 1e6;
-/// No wait or delay, nor a cold spell, is longer.
+/// Maximum plausible wait, delay, cold period or mean call length. Longer values are dropped.
 const MAX_SPAN: Micros = Micros(600_000_000);
-/// A figure that cannot be moved towards nought is dropped once it remaining_weight for less than this.
+/// Minimum weight of a value that cannot decay gradually towards a default; below it the value is dropped.
 const MIN_REMAINING_WEIGHT: f64 = 0.25;
 
-/// Which process a belief is of. An address is not an identity: a hub is itself by name and start.
+/// Identity of a hub process. The address alone does not identify a hub: a process with another name or start time
+/// at the same address is another hub.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Its name.
+    /// The hub's unique name.
     pub uid: Arc<str>,
-    /// Its address, opaque here.
+    /// The hub's address; not interpreted here.
     pub endpoint: Arc<str>,
-    /// The place that calls name.
+    /// The place by which calls select the hub.
     pub place: i64,
-    /// Its latest start, if it is known.
+    /// Time of the hub's latest start, if known.
     pub born: Option<Micros>,
 }
 
-/// What is kept of one hub.
+/// What was learned about one hub.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LearnedHub {
-    /// Of which process.
+    /// The hub process.
     pub hub: Identity,
-    /// What was believed of it.
+    /// The decision module's estimates for this hub.
     pub belief: Belief,
 }
 
-/// All that is kept, as of one moment.
+/// Learned state of all hubs at one point in time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// When it was taken, by the Unix clock.
+    /// When the state was collected, in Unix time.
     pub at: Micros,
-    /// The mean length of a call, in seconds; nought: not known.
+    /// Mean length of a call in seconds; 0 if unknown.
     pub hold: f64,
-    /// The hubs.
+    /// The state of each hub.
     pub hubs: Vec<LearnedHub>,
 }
 
-/// How fast each kind of fact loses its worth: the spans after which it remaining_weight for half.
+/// How fast each kind of value loses its weight: the half-lives, and the maximum age.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecaySettings {
-    /// Waits: a queue is worked off, or grows, within seconds.
+    /// Half-life of waits: a queue drains, or grows, within seconds.
     pub wait: Micros,
-    /// Delays of own set-ups, weights, and the part let through.
+    /// Half-life of set-up delays, selection weights and the admitted share of calls.
     pub load: Micros,
-    /// The rate that a hub can take now: slow spells last from seconds to a minute.
+    /// Half-life of the rate that a hub can take now: slow periods last from seconds to a minute.
     pub rate: Micros,
-    /// Signs of being dead.
+    /// Half-life of signs that a hub is dead.
     pub signs: Micros,
-    /// What a hub was seen to carry, and the mean length of a call.
+    /// Half-life of the greatest rate that a hub has carried, and of the mean length of a call.
     pub capacity: Micros,
-    /// What is older steers nothing at all.
+    /// Maximum age: older values are not used.
     pub max_age: Micros,
 }
 
@@ -89,13 +92,12 @@
     }
 }
 
-/// The age of something kept at a time; `None` where it claims to be from the future, so that its age is
-/// not known.
+/// Returns the age of a value saved at `kept`, or `None` if that time lies in the future, so the age is unknown.
 fn age(kept: Micros, now: Micros) -> Option<Micros> {
     (kept <= now + MAX_CLOCK_LEAD).then(|| now - kept)
 }
 
-/// How much a fact of that age remaining_weight, from 1 down.
+/// Returns the weight that a value of this age still has, from 1 down to 0.
 fn remaining_weight(age: Micros, half_life: Micros) -> f64 {
     match half_life {
         Micros(0) => 0.0,
@@ -103,124 +105,129 @@
     }
 }
 
-/// Whether no figure of a belief is absurd.
+/// Whether all values of a belief lie in their plausible ranges.
 fn is_plausible(belief: &Belief) -> bool {
     let rate = |r: f64| (0.0..=MAX_SET_UPS_PER_SECOND).contains(&r);
-    let part = |p: f64| (0.0..=1.0).contains(&p);
+    let fraction = |p: f64| (0.0..=1.0).contains(&p);
     rate(belief.carried)
         && rate(belief.carries)
         && rate(belief.can_take)
-        && part(belief.weight)
-        && part(belief.pass)
-        && part(belief.share)
+        && fraction(belief.weight)
+        && fraction(belief.pass)
+        && fraction(belief.share)
         && belief.wait <= MAX_SPAN
         && belief.delay <= MAX_SPAN
 }
 
-/// What a belief of that age is still worth: each figure is moved towards what a start without it takes.
-fn decayed(belief: &Belief, age: Micros, now: Micros, by: &DecaySettings) -> Belief {
-    let (load, rate) = (remaining_weight(age, by.load), remaining_weight(age, by.rate));
-    let towards_one = |figure: f64| 1.0 - (1.0 - figure) * load;
-    let while_sure = |figure: f64, sure: f64| if sure >= MIN_REMAINING_WEIGHT { figure } else { 0.0 };
+/// Decays a belief of this age: each value moves towards the default of a start without saved state.
+fn decayed(belief: &Belief, age: Micros, now: Micros, settings: &DecaySettings) -> Belief {
+    let (load, rate) = (remaining_weight(age, settings.load), remaining_weight(age, settings.rate));
+    let decay_to_one = |figure: f64| 1.0 - (1.0 - figure) * load;
+    let drop_if_stale = |figure: f64, weight: f64| if weight >= MIN_REMAINING_WEIGHT { figure } else { 0.0 };
     Belief {
-        carried: while_sure(belief.carried, remaining_weight(age, by.capacity)),
+        carried: drop_if_stale(belief.carried, remaining_weight(age, settings.capacity)),
         heard: belief.heard,
-        carries: while_sure(belief.carries, rate),
-        // Less the older it is: a cold processor is brought what it said that it can take.
-        can_take: while_sure(belief.can_take * rate, rate),
-        wait: belief.wait.scale(remaining_weight(age, by.wait)),
+        carries: drop_if_stale(belief.carries, rate),
+        // Scaled down with age, because a hub that is still cold gets as many set-ups as it said that it can
+        // take.
+        can_take: drop_if_stale(belief.can_take * rate, rate),
+        wait: belief.wait.scale(remaining_weight(age, settings.wait)),
         delay: belief.delay.scale(load),
-        weight: towards_one(belief.weight),
-        pass: towards_one(belief.pass),
-        // A share has a period of its own, which the restart does not lengthen.
+        weight: decay_to_one(belief.weight),
+        pass: decay_to_one(belief.pass),
+        // The share to hold back has its own expiry time, which a restart does not extend.
         share: if belief.share_until > now { belief.share } else { 0.0 },
         share_until: belief.share_until,
-        silent: belief.silent && remaining_weight(age, by.signs) >= 0.5,
+        silent: belief.silent && remaining_weight(age, settings.signs) >= 0.5,
         cold_until: Some(belief.cold_until).filter(|c| *c < now + MAX_SPAN).unwrap_or_default(),
     }
 }
 
-/// A picture that was read, from which each hub is recalled once.
+/// Learned state that was read back after a restart. The belief about each hub is returned once.
 #[derive(Debug, Default)]
 pub struct RestoredState {
     at: Micros,
     hold: f64,
     hubs: HashMap<Arc<str>, LearnedHub>,
-    ageing: DecaySettings,
+    decay: DecaySettings,
 }
 
-/// How a picture was taken up.
+/// Result of restoring a learned state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RestoreSummary {
-    /// Hubs that may be recalled.
+    /// Number of hubs whose state was restored.
     pub hubs: usize,
-    /// Hubs that were dropped: absurd figures, heard of in the future, names that are too long or come twice,
-    /// more than may be known.
+    /// Number of hubs that were dropped: implausible values, last heard of in the future, names too long or
+    /// repeated, or more hubs than the limit.
     pub dropped: usize,
-    /// All were dropped, because the picture claims to be from the future,
+    /// All hubs were dropped because the state claims to be from the future.
     pub from_future: bool,
-    /// ... or because it is too old.
+    /// All hubs were dropped because the state is too old.
     pub too_old: bool,
 }
 
 impl RestoredState {
-    /// Takes a picture up at the start. What is absurd, too old or from the future is dropped.
-    pub fn new(picture: LearnedState, ageing: DecaySettings, now: Micros) -> (RestoredState, RestoreSummary) {
-        let all = picture.hubs.len();
-        let mut taken = RestoreSummary::default();
-        let mut memory =
-            RestoredState { at: picture.at, hold: picture.hold, ageing, ..RestoredState::default() };
-        match age(picture.at, now) {
-            None => taken.from_future = true,
-            Some(age) if age > memory.ageing.max_age => taken.too_old = true,
+    /// Restores a learned state at the start. Hubs whose values are implausible, too old or from the future are
+    /// dropped.
+    pub fn new(learned: LearnedState, decay: DecaySettings, now: Micros) -> (RestoredState, RestoreSummary) {
+        let all = learned.hubs.len();
+        let mut summary = RestoreSummary::default();
+        let mut restored =
+            RestoredState { at: learned.at, hold: learned.hold, decay, ..RestoredState::default() };
+        match age(learned.at, now) {
+            None => summary.from_future = true,
+            Some(age) if age > restored.decay.max_age => summary.too_old = true,
             Some(_) => {
-                for kept in picture.hubs {
-                    let known = memory.hubs.len() < MAX_HUBS && !memory.hubs.contains_key(&kept.hub.uid);
-                    let short =
+                for kept in learned.hubs {
+                    let is_addable =
+                        restored.hubs.len() < MAX_HUBS && !restored.hubs.contains_key(&kept.hub.uid);
+                    let is_short =
                         kept.hub.uid.len() <= MAX_NAME_BYTES && kept.hub.endpoint.len() <= MAX_NAME_BYTES;
-                    let past = age(kept.belief.heard, now).is_some();
-                    if known && short && past && is_plausible(&kept.belief) {
-                        memory.hubs.insert(kept.hub.uid.clone(), kept);
+                    let is_past = age(kept.belief.heard, now).is_some();
+                    if is_addable && is_short && is_past && is_plausible(&kept.belief) {
+                        restored.hubs.insert(kept.hub.uid.clone(), kept);
                     }
                 }
             }
         }
-        (taken.hubs, taken.dropped) = (memory.hubs.len(), all - memory.hubs.len());
-        (memory, taken)
+        (summary.hubs, summary.dropped) = (restored.hubs.len(), all - restored.hubs.len());
+        (restored, summary)
     }
 
-    /// The mean length of a call in seconds, once, and while it remaining_weight.
+    /// Returns the saved mean length of a call in seconds on the first call, unless it is too old.
     pub fn hold(&mut self, now: Micros) -> Option<f64> {
         let hold = std::mem::take(&mut self.hold);
-        let age = age(self.at, now).filter(|age| *age <= self.ageing.max_age)?;
-        let sure = remaining_weight(age, self.ageing.capacity) >= MIN_REMAINING_WEIGHT;
-        Some(hold).filter(|h| sure && *h > 0.0 && *h <= MAX_SPAN.secs())
+        let age = age(self.at, now).filter(|age| *age <= self.decay.max_age)?;
+        let is_fresh = remaining_weight(age, self.decay.capacity) >= MIN_REMAINING_WEIGHT;
+        Some(hold).filter(|h| is_fresh && *h > 0.0 && *h <= MAX_SPAN.secs())
     }
 
-    /// What was known of a hub that a list names for the first time since the start, once, and for the same
-    /// process alone. Danger: one with another start is cold, and one with another address or place is another
-    /// machine; what theirs could carry would push them over.
+    /// Returns the belief about a hub that a list names for the first time since the start. It is returned only
+    /// once, and only for the same hub process: one with another start time is cold, and one with another address
+    /// or place is another machine, so the saved capacity would overload it.
     pub fn recall(&mut self, hub: &Identity, now: Micros) -> Option<Belief> {
         let kept = self.hubs.remove(&hub.uid).filter(|kept| kept.hub == *hub)?;
-        // Danger: what was itself recalled, and not heard of since, must not grow young by being kept again.
-        let age = age(kept.belief.heard, now).filter(|age| *age <= self.ageing.max_age)?;
-        Some(decayed(&kept.belief, age, now, &self.ageing))
+        // The age counts from when the hub was last heard of. Counted from the time of the save, a belief that
+        // was restored and saved again without news of the hub would appear fresh.
+        let age = age(kept.belief.heard, now).filter(|age| *age <= self.decay.max_age)?;
+        Some(decayed(&kept.belief, age, now, &self.decay))
     }
 
-    /// Whether nothing is left to recall.
+    /// Whether nothing is left to restore.
     pub fn is_empty(&self) -> bool {
         self.hubs.is_empty() && self.hold <= 0.0
     }
 
-    /// What no list has named yet is kept on while it is not too old: a list may come late, and a start that
-    /// is cut short before it must not lose what the one before knew.
+    /// Returns the hubs that no list has named yet and whose state is not too old. They are saved again, because
+    /// the list may come late and a run that ends before it must not lose the state of the run before.
     pub fn unlisted(&self, now: Micros) -> impl Iterator<Item = &LearnedHub> {
-        let young = move |k: &&LearnedHub| age(k.belief.heard, now).is_some_and(|a| a <= self.ageing.max_age);
-        self.hubs.values().filter(young)
+        let is_recent =
+            move |k: &&LearnedHub| age(k.belief.heard, now).is_some_and(|a| a <= self.decay.max_age);
+        self.hubs.values().filter(is_recent)
     }
 }
 
-/// Takes a picture a few hubs at a time, so that no call waits for the whole of it.
+/// Collects the learned state a few hubs at a time, so that no call waits until all hubs are collected.
 #[derive(Debug, Default)]
 pub struct StateCollector {
     hubs: Vec<LearnedHub>,
@@ -228,17 +235,18 @@
 }
 
 impl StateCollector {
-    /// Adds up to `most` hubs from `hubs` on, of which there are `count`: `look` gives one, if it is in
-    /// service or drains. Gives all that was gathered once the last is in.
+    /// Collects up to `max_hubs` further hubs out of `count`. `learned_hub` returns the state of the hub with an
+    /// index, or `None` if the hub is gone. Returns all collected hubs once the last index was visited.
     pub fn collect(
         &mut self,
         count: usize,
-        most: usize,
-        mut look: impl FnMut(usize) -> Option<LearnedHub>,
+        max_hubs: usize,
+        mut learned_hub: impl FnMut(usize) -> Option<LearnedHub>,
     ) -> Option<Vec<LearnedHub>> {
-        // At a planned end all the rest is asked for, perhaps half-way through.
-        let end = count.min(self.next.saturating_add(most));
-        self.hubs.extend((self.next..end).filter_map(&mut look));
+        // On shutdown all remaining hubs are requested at once, possibly in the middle of a collection, so the
+        // sum must not overflow.
+        let end = count.min(self.next.saturating_add(max_hubs));
+        self.hubs.extend((self.next..end).filter_map(&mut learned_hub));
         self.next = end;
         (end == count).then(|| std::mem::take(self).hubs)
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,7 +5,7 @@
 use clap::Parser;
 use petreldock::cli::{self, Arguments, Command};
 use petreldock::config::{Config, ConfigError, Iax2Hub, State};
-use petreldock::core::{self, Clock, Core, FrontId, Hub, Input, LoadFigures, Status};
+use petreldock::core::{self, Clock, Core, FrontId, Hub, Input, LoadSummary, Status};
 use petreldock::fleet::task;
 use petreldock::iax2;
 use petreldock::interface::{Micros, Phase};
@@ -151,7 +151,7 @@
     };
     let fleet = match &operator.fleet {
         Some(fleet) => {
-            let (figures, latest) = watch::channel(LoadFigures::default());
+            let (figures, latest) = watch::channel(LoadSummary::default());
             core.publish_load(figures);
             // Kept alive to the end: who stands in the fleet is for later parts.
             Some(task::start(fleet, &config.name, config.seed, clock, latest).await?)
@@ -174,7 +174,7 @@
     let (change_log, addresses) = watch::channel(config.change_log);
     tokio::spawn(feed::run(addresses, seq, config.seed, clock, inputs.clone()));
     tokio::spawn(reload(hangup, change_log));
-    tokio::spawn(metrics::report_regularly());
+    tokio::spawn(metrics::report_periodically());
     let sip_config = sip_server::Config {
         id: FrontId(0),
         sockets: config.limits.sockets,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,12 +1,12 @@
-//! Counters of the process. They only grow, and are written to the log from time to time and at the end.
+//! Counters of the process. They only increase, and are logged periodically and at shutdown.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::time::{interval, Duration, MissedTickBehavior};
 
-/// How often the counters are written to the log, if any of them has changed.
+/// How often the counters are logged, if calls were offered or hubs dialled since the last time.
 const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A number of events since the start of the process.
+/// Number of events since the start of the process.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
@@ -25,7 +25,7 @@
         self.0.fetch_add(count, Ordering::Relaxed);
     }
 
-    /// How many events were counted.
+    /// Returns the number of events counted.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -35,34 +35,34 @@
 pub static CALLS_OFFERED: Counter = Counter::new();
 /// Calls that were answered by a hub.
 pub static CALLS_ANSWERED: Counter = Counter::new();
-/// Calls that were refused: nothing ran, and the caller may dial again.
+/// Calls that were refused: no attempt of them ran, and the caller may dial again.
 pub static CALLS_REFUSED: Counter = Counter::new();
 /// Calls that were failed.
 pub static CALLS_FAILED: Counter = Counter::new();
-/// Attempts that were sent towards a hub.
+/// Attempts that were sent to a hub.
 pub static ATTEMPTS: Counter = Counter::new();
-/// Attempts after the first one of their call.
+/// Attempts other than the first one of their call.
 pub static RETRIES: Counter = Counter::new();
 /// Answered calls that their hub released.
 pub static CALLS_RELEASED: Counter = Counter::new();
 /// Answered calls that ended because their hub was dead or gone.
 pub static CALLS_CUT: Counter = Counter::new();
-/// Connections to hubs that came up.
+/// Connections to hubs that were established.
 pub static HUB_DIALS: Counter = Counter::new();
-/// Connections to hubs that did not come up.
+/// Connections to hubs that could not be established.
 pub static HUB_DIAL_FAILURES: Counter = Counter::new();
-/// Connections to hubs that ended or broke.
+/// Connections to hubs that were closed or lost.
 pub static HUB_CONNECTIONS_LOST: Counter = Counter::new();
 /// Hubs that were declared dead.
 pub static HUBS_DEAD: Counter = Counter::new();
 /// Releases that were written to callers' connections.
 pub static RELEASES_SENT: Counter = Counter::new();
-/// Releases that were sent again on another connection.
+/// Releases that were repeated on another connection.
 pub static RELEASES_REPEATED: Counter = Counter::new();
-/// Releases that no connection of a caller took in time.
+/// Releases that could not be delivered on any connection of a caller in time.
 pub static RELEASES_LOST: Counter = Counter::new();
 
-/// Writes the counters to the log.
+/// Logs the counters.
 pub fn report() {
     tracing::info!(
         calls_offered = CALLS_OFFERED.get(),
@@ -84,8 +84,8 @@
     );
 }
 
-/// Writes the counters to the log every 10 s in which a call was offered or a hub dialled.
-pub async fn report_regularly() {
+/// Logs the counters after every 10 s in which a call was offered or a hub dialled.
+pub async fn report_periodically() {
     let mut ticks = interval(REPORT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut reported = 0;
--- a/tests/departed.rs
+++ b/tests/departed.rs
@@ -207,7 +207,7 @@
         hub.answer(&self.sent);
         let call = self.party.call;
         assert_eq!(status(self.party.caller.as_mut().expect("it is there"), call), 200);
-        wait_logged(program, "stands", call, 1);
+        wait_logged(program, "call answered", call, 1);
     }
 }
 
@@ -458,7 +458,7 @@
     let at: Vec<Sent> = all.iter().map(|p| hubs[0].set_up(p.call, 1)).collect();
     early.is_answered(&program, &mut hubs[0]);
     at.iter().for_each(|sent| broken(&mut hubs[0], sent));
-    all.iter().for_each(|p| wait_logged(&program, "ended", p.call, 1));
+    all.iter().for_each(|p| wait_logged(&program, "attempt ended", p.call, 1));
     let ended = Instant::now();
     if starved {
         program.pause();
@@ -514,7 +514,7 @@
         break_all(&program, &mut hubs[0]);
     }
     let before = usize::from(further);
-    all.iter().for_each(|p| wait_logged(&program, "sent", p.call, before + 1));
+    all.iter().for_each(|p| wait_logged(&program, "attempt sent", p.call, before + 1));
     if starved.is_some() {
         program.pause();
     }
@@ -578,7 +578,7 @@
         // Progress means nothing, but shows that the connection is alive: else it would get another beside it.
         (0..2).for_each(|link| hub.say(link, PROGRESS, 0, &[]));
         filler.send("INVITE", last, &more, &body);
-        wait_logged(program, "sent", last, 1);
+        wait_logged(program, "attempt sent", last, 1);
         let end = Instant::now() + Duration::from_millis(200);
         while logged(program, "begun", last) == 0 && Instant::now() < end {
             sleep(Duration::from_millis(5));
@@ -602,7 +602,7 @@
         let at: Vec<Sent> = all.iter().map(|p| hubs[1].set_up(p.call, 1)).collect();
         at.iter().for_each(|sent| full(&mut hubs[1], sent));
     }
-    all.iter().for_each(|p| wait_logged(&program, "sent", p.call, before + 1));
+    all.iter().for_each(|p| wait_logged(&program, "attempt sent", p.call, before + 1));
     if starved {
         program.pause();
     }
--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -370,7 +370,7 @@
         last += 1;
         let more = "Call-Kind: voice\r\nAnswer-Within: 90000\r\nRouting-Data: dest:0;width:1;via:-1\r\n";
         stays.send("INVITE", last, more, &body);
-        until("sent on", || said("sent", last).then_some(()));
+        until("sent on", || said("attempt sent", last).then_some(()));
         let asked = Instant::now();
         while !said("begun", last) && asked.elapsed() < Duration::from_millis(200) {
             sleep(MILLI);
@@ -383,12 +383,12 @@
     let mut closes = Caller::connect(program.address);
     for (caller, call) in [(&mut cancels, 0x2000), (&mut closes, 0x2001)] {
         caller.invite(call, 15_000, 0);
-        until("sent on", || said("sent", call).then_some(()));
+        until("sent on", || said("attempt sent", call).then_some(()));
     }
     cancels.send("CANCEL", 0x2000, "", b"");
     assert_eq!(status(&mut cancels, 0x2000), 487);
     drop(closes);
-    until("it is noticed", || said("giving up", 0x2001).then_some(()));
+    until("it is noticed", || said("giving up attempt", 0x2001).then_some(()));
     assert!(!said("begun", 0x2000) && !said("begun", 0x2001), "they wait behind the others");
     // The hub reads on. What the others are followed by on each connection is their give-up, once their caller
     // leaves as well; it would be behind the two.
