--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core with injected time and no sockets: each guard of the rules, and what crosses what.
+//! Tests of the core with injected time and without sockets: each rule that it enforces, and messages that cross.
 
 #[path = "common/site.rs"]
 mod site;
@@ -15,16 +15,16 @@
 const SECOND: u64 = 1_000_000;
 const START: u64 = 1_700_000_000_000_000;
 
-struct Opened {
+struct OpenedLink {
     link: LinkId,
     endpoint: String,
     commands: mpsc::Receiver<ToHub>,
 }
 
-struct Desk {
+struct Harness {
     core: Core,
     front: mpsc::Receiver<ToFront>,
-    links: Arc<Mutex<Vec<Opened>>>,
+    links: Arc<Mutex<Vec<OpenedLink>>>,
     status: watch::Receiver<Status>,
     now: u64,
 }
@@ -33,17 +33,17 @@
     Hub { uid: uid.into(), endpoint: endpoint.into(), place, phase, born: None }
 }
 
-/// News that count as told when they come.
+/// A hub list update that takes effect when it is received.
 fn list(full: bool, hubs: Vec<Hub>) -> Input {
     Input::HubList(HubListUpdate { full, hubs, effective_since: Micros(u64::MAX), seq: 0 })
 }
 
-impl Desk {
-    fn new() -> Desk {
-        Desk::with(|_| {})
+impl Harness {
+    fn new() -> Harness {
+        Harness::with(|_| {})
     }
 
-    fn with(change: impl Fn(&mut Config)) -> Desk {
+    fn with(change: impl Fn(&mut Config)) -> Harness {
         let targets = [
             site::target("a", "10.0.0.1:1", 0, "in_service"),
             site::target("b", "10.0.0.2:1", 1, "in_service"),
@@ -51,28 +51,28 @@
         let mut config = site::config(&targets);
         change(&mut config);
         let (sender, front) = mpsc::channel(100);
-        let links: Arc<Mutex<Vec<Opened>>> = Arc::default();
+        let links: Arc<Mutex<Vec<OpenedLink>>> = Arc::default();
         let opened = links.clone();
         let connect = Box::new(move |link, endpoint: &str| {
             let (sender, commands) = mpsc::channel(100);
-            opened.lock().expect("lock").push(Opened { link, endpoint: endpoint.into(), commands });
+            opened.lock().expect("lock").push(OpenedLink { link, endpoint: endpoint.into(), commands });
             sender
         });
         let (status, watched) = watch::channel(Status::default());
-        let core = Core::new(&config, vec![sender], connect, status, Micros(START)).expect("sane");
-        let mut desk = Desk { core, front, links, status: watched, now: START };
+        let core = Core::new(&config, vec![sender], connect, status, Micros(START)).expect("valid settings");
+        let mut harness = Harness { core, front, links, status: watched, now: START };
         for input in feed::inputs(config.known, &mut 0, Micros(0)) {
-            desk.tell(input);
+            harness.input(input);
         }
-        desk
+        harness
     }
 
-    fn tell(&mut self, input: Input) {
+    fn input(&mut self, input: Input) {
         self.core.handle(Micros(self.now), input);
     }
 
-    /// Lets time pass, tick by tick.
-    fn pass(&mut self, span: u64) {
+    /// Advances the time, tick by tick.
+    fn advance(&mut self, span: u64) {
         let end = self.now + span;
         while self.now < end {
             self.now = (self.now + 5_000).min(end);
@@ -90,7 +90,7 @@
 
     fn offer_from(&mut self, origin: u64, call: u64, place: i64, body: &[u8]) {
         let deadline = Some(Micros(self.now + 3 * SECOND));
-        self.tell(Input::Offer(Offer {
+        self.input(Input::Offer(Offer {
             front: FrontId(0),
             origin: Origin(origin),
             call: CallName(call),
@@ -105,251 +105,266 @@
     }
 
     fn withdraw(&mut self, call: u64) {
-        self.tell(Input::Withdrawn(FrontId(0), Origin(5), CallName(call)));
+        self.input(Input::Withdrawn(FrontId(0), Origin(5), CallName(call)));
     }
 
-    fn hear(&mut self, link: usize, from: FromHub) {
+    fn hub_event(&mut self, link: usize, from: FromHub) {
         let link = self.links.lock().expect("lock")[link].link;
-        self.tell(Input::Hub(link, from));
+        self.input(Input::Hub(link, from));
     }
 
     fn released(&mut self, link: usize, call: u64, cause: u8, note: RefusalNote) {
-        self.hear(link, FromHub::Released(CallName(call), Cause(cause), note, Report::default()));
+        self.hub_event(link, FromHub::Released(CallName(call), Cause(cause), note, Report::default()));
     }
 
-    fn stands(&mut self, link: usize, call: u64) {
-        self.hear(link, FromHub::Answered(CallName(call), Description::default()));
+    fn answered(&mut self, link: usize, call: u64) {
+        self.hub_event(link, FromHub::Answered(CallName(call), Description::default()));
     }
 
-    fn command(&mut self, link: usize) -> Option<ToHub> {
+    fn next_command(&mut self, link: usize) -> Option<ToHub> {
         self.links.lock().expect("lock")[link].commands.try_recv().ok()
     }
 
-    /// The attempt that a link is told to start.
-    fn set_up(&mut self, link: usize) -> Option<u64> {
-        match self.command(link)? {
+    /// Returns the number of the attempt that a link is told to start next, if any.
+    fn next_set_up(&mut self, link: usize) -> Option<u64> {
+        match self.next_command(link)? {
             ToHub::SetUp(set_up) => Some(set_up.attempt),
-            other => panic!("a set-up was expected, not {other:?}"),
+            other => panic!("expected a set-up, got {other:?}"),
         }
     }
 
-    fn said(&mut self) -> Option<ToFront> {
+    fn next_message(&mut self) -> Option<ToFront> {
         self.front.try_recv().ok()
     }
 }
 
 #[test]
-fn a_full_hub_leads_to_another_and_one_answer() {
-    let mut desk = Desk::new();
-    desk.offer(1, 0);
-    assert!(desk.set_up(0).is_some() && desk.set_up(1).is_none());
-    desk.released(0, 1, 34, RefusalNote::Throttled);
-    assert!(desk.set_up(1).is_some(), "a refusal never ran: the next try needs no pause");
-    desk.stands(1, 1);
-    assert!(matches!(desk.said(), Some(ToFront::Answer(Origin(5), CallName(1), _))));
-    desk.stands(1, 1);
-    desk.pass(4 * SECOND);
-    assert!(desk.said().is_none(), "one answer, and no deadline once it stands");
-    desk.released(1, 1, 16, RefusalNote::None);
-    assert!(matches!(desk.said(), Some(ToFront::Release(Some(Origin(5)), CallName(1), Cause(16)))));
-    desk.released(1, 1, 16, RefusalNote::None);
-    assert!(desk.said().is_none(), "a release that the hub repeats is passed on once");
-    assert_eq!(desk.core.open_calls(), 0);
+fn a_refusal_by_a_full_hub_leads_to_another_hub_and_exactly_one_answer() {
+    let mut harness = Harness::new();
+    harness.offer(1, 0);
+    assert!(harness.next_set_up(0).is_some() && harness.next_set_up(1).is_none());
+    harness.released(0, 1, 34, RefusalNote::Throttled);
+    assert!(harness.next_set_up(1).is_some(), "a refused set-up never ran: the next attempt needs no pause");
+    harness.answered(1, 1);
+    assert!(matches!(harness.next_message(), Some(ToFront::Answer(Origin(5), CallName(1), _))));
+    harness.answered(1, 1);
+    harness.advance(4 * SECOND);
+    assert!(harness.next_message().is_none(), "one answer, and no deadline once the call is established");
+    harness.released(1, 1, 16, RefusalNote::None);
+    assert!(matches!(
+        harness.next_message(),
+        Some(ToFront::Release(Some(Origin(5)), CallName(1), Cause(16)))
+    ));
+    harness.released(1, 1, 16, RefusalNote::None);
+    assert!(harness.next_message().is_none(), "a repeated release is passed on once");
+    assert_eq!(harness.core.open_calls(), 0);
 }
 
 #[test]
-fn a_set_up_that_never_began_is_taken_back() {
-    let mut desk = Desk::new();
-    desk.offer(1, 0);
-    let attempt = desk.set_up(0).expect("sent");
-    desk.withdraw(1);
-    assert!(matches!(desk.command(0), Some(ToHub::GiveUp(CallName(1), n)) if n == attempt));
-    assert_eq!(desk.core.open_calls(), 1, "the attempt ends once its link says so");
-    desk.hear(0, FromHub::GivenUp { attempt, call: CallName(1), began: false });
-    assert_eq!(desk.core.open_calls(), 0);
-    assert!(desk.said().is_none(), "no answer is owed");
+fn a_withdrawn_set_up_that_was_not_sent_is_cancelled() {
+    let mut harness = Harness::new();
+    harness.offer(1, 0);
+    let attempt = harness.next_set_up(0).expect("sent");
+    harness.withdraw(1);
+    assert!(matches!(harness.next_command(0), Some(ToHub::GiveUp(CallName(1), n)) if n == attempt));
+    assert_eq!(harness.core.open_calls(), 1, "the attempt ends when its link reports it");
+    harness.hub_event(0, FromHub::GivenUp { attempt, call: CallName(1), began: false });
+    assert_eq!(harness.core.open_calls(), 0);
+    assert!(harness.next_message().is_none(), "no answer is owed to a caller that has left");
 }
 
 #[test]
 fn an_answer_that_crosses_the_give_up_is_released_and_not_passed_on() {
     for written in [false, true] {
-        let mut desk = Desk::new();
-        desk.offer(1, 0);
-        let attempt = desk.set_up(0).expect("sent");
-        desk.withdraw(1);
-        assert!(matches!(desk.command(0), Some(ToHub::GiveUp(..))));
+        let mut harness = Harness::new();
+        harness.offer(1, 0);
+        let attempt = harness.next_set_up(0).expect("sent");
+        harness.withdraw(1);
+        assert!(matches!(harness.next_command(0), Some(ToHub::GiveUp(..))));
         if written {
-            desk.hear(0, FromHub::GivenUp { attempt, call: CallName(1), began: true });
+            harness.hub_event(0, FromHub::GivenUp { attempt, call: CallName(1), began: true });
         }
-        desk.stands(0, 1);
-        assert!(matches!(desk.command(0), Some(ToHub::Release(CallName(1), Cause(16)))));
-        assert!(desk.said().is_none());
+        harness.answered(0, 1);
+        assert!(matches!(harness.next_command(0), Some(ToHub::Release(CallName(1), Cause(16)))));
+        assert!(harness.next_message().is_none());
     }
 }
 
 #[test]
-fn the_pause_starts_once_the_give_up_is_written() {
-    let mut desk = Desk::new();
-    desk.offer(1, 0);
-    let attempt = desk.set_up(0).expect("sent");
-    // The hub is silent: the module calls the attempt off while another hub can still take it.
-    desk.pass(SECOND);
-    assert!(matches!(desk.command(0), Some(ToHub::GiveUp(..))));
-    assert!(desk.set_up(1).is_none(), "no second attempt while the first is out");
-    desk.hear(0, FromHub::GivenUp { attempt, call: CallName(1), began: true });
-    desk.pass(195_000);
-    assert!(desk.set_up(1).is_none(), "not within 200 ms of the give-up's writing");
-    desk.pass(10_000);
-    assert!(desk.set_up(1).is_some() || desk.set_up(0).is_some() || desk.said().is_some());
+fn the_release_pause_starts_when_the_give_up_is_written() {
+    let mut harness = Harness::new();
+    harness.offer(1, 0);
+    let attempt = harness.next_set_up(0).expect("sent");
+    // The hub does not respond: the attempt is cancelled while there is time to try another hub.
+    harness.advance(SECOND);
+    assert!(matches!(harness.next_command(0), Some(ToHub::GiveUp(..))));
+    assert!(harness.next_set_up(1).is_none(), "no second attempt while the first is open");
+    harness.hub_event(0, FromHub::GivenUp { attempt, call: CallName(1), began: true });
+    harness.advance(195_000);
+    assert!(harness.next_set_up(1).is_none(), "not within 200 ms of writing the give-up");
+    harness.advance(10_000);
+    assert!(
+        harness.next_set_up(1).is_some()
+            || harness.next_set_up(0).is_some()
+            || harness.next_message().is_some()
+    );
 }
 
 #[test]
-fn a_reset_set_up_waits_the_pause_out() {
-    let mut desk = Desk::new();
-    desk.offer(1, 0);
-    let attempt = desk.set_up(0).expect("sent");
-    desk.hear(0, FromHub::ConnectionLost(CallName(1), attempt));
-    desk.pass(195_000);
-    assert!(desk.set_up(0).is_none() && desk.set_up(1).is_none());
-    desk.pass(10_000);
-    assert!(desk.set_up(0).or(desk.set_up(1)).is_some());
+fn a_lost_set_up_is_repeated_only_after_the_release_pause() {
+    let mut harness = Harness::new();
+    harness.offer(1, 0);
+    let attempt = harness.next_set_up(0).expect("sent");
+    harness.hub_event(0, FromHub::ConnectionLost(CallName(1), attempt));
+    harness.advance(195_000);
+    assert!(harness.next_set_up(0).is_none() && harness.next_set_up(1).is_none());
+    harness.advance(10_000);
+    assert!(harness.next_set_up(0).or(harness.next_set_up(1)).is_some());
 }
 
 #[test]
-fn a_call_nobody_takes_is_answered_before_its_deadline() {
-    let mut desk = Desk::new();
-    desk.offer(1, 0);
-    desk.pass(3 * SECOND);
-    assert!(matches!(desk.said(), Some(ToFront::Fail(..) | ToFront::Refuse(..))));
-    assert!(desk.said().is_none());
-    desk.stands(0, 1);
-    assert!(desk.said().is_none(), "too late");
+fn a_call_that_no_hub_answers_gets_a_final_answer_by_its_deadline() {
+    let mut harness = Harness::new();
+    harness.offer(1, 0);
+    harness.advance(3 * SECOND);
+    assert!(matches!(harness.next_message(), Some(ToFront::Fail(..) | ToFront::Refuse(..))));
+    assert!(harness.next_message().is_none());
+    harness.answered(0, 1);
+    assert!(harness.next_message().is_none(), "the answer is too late");
 }
 
 #[test]
-fn a_drain_is_told_to_the_link_and_ends_set_ups_after_its_grace() {
-    let mut desk = Desk::new();
-    desk.tell(list(false, vec![hub("b", "10.0.0.2:1", 1, Phase::Draining)]));
-    let until = Micros(desk.now + 2 * SECOND);
-    assert!(matches!(desk.command(1), Some(ToHub::SetUpCutoff(Some(t))) if t == until));
-    desk.pass(2 * SECOND);
+fn a_drain_is_passed_to_the_link_and_no_set_up_starts_after_its_grace() {
+    let mut harness = Harness::new();
+    harness.input(list(false, vec![hub("b", "10.0.0.2:1", 1, Phase::Draining)]));
+    let until = Micros(harness.now + 2 * SECOND);
+    assert!(matches!(harness.next_command(1), Some(ToHub::SetUpCutoff(Some(t))) if t == until));
+    harness.advance(2 * SECOND);
     for call in 0..20 {
-        desk.offer(call, 1);
+        harness.offer(call, 1);
     }
-    assert!(desk.command(1).is_none());
+    assert!(harness.next_command(1).is_none());
 }
 
 #[test]
-fn a_hub_that_is_gone_or_dead_ends_what_stood_there_and_an_old_address_is_a_new_hub() {
-    let mut desk = Desk::new();
+fn a_gone_or_dead_hub_releases_its_calls_and_a_new_hub_can_reuse_its_address() {
+    let mut harness = Harness::new();
     for call in [1, 2] {
-        desk.offer(call, call as i64 - 1);
-        assert!(desk.set_up(call as usize - 1).is_some());
-        desk.stands(call as usize - 1, call);
-        assert!(matches!(desk.said(), Some(ToFront::Answer(..))));
+        harness.offer(call, call as i64 - 1);
+        assert!(harness.next_set_up(call as usize - 1).is_some());
+        harness.answered(call as usize - 1, call);
+        assert!(matches!(harness.next_message(), Some(ToFront::Answer(..))));
     }
-    desk.hear(1, FromHub::Dead);
-    assert!(matches!(desk.said(), Some(ToFront::Release(_, CallName(2), Cause(41)))));
+    harness.hub_event(1, FromHub::Dead);
+    assert!(matches!(harness.next_message(), Some(ToFront::Release(_, CallName(2), Cause(41)))));
     let replaced = vec![hub("a", "", 0, Phase::Gone), hub("c", "10.0.0.1:1", 0, Phase::Up)];
-    desk.tell(list(false, replaced));
-    assert!(matches!(desk.said(), Some(ToFront::Release(_, CallName(1), Cause(41)))));
-    assert!(matches!(desk.command(0), Some(ToHub::Close)));
-    let links = desk.links.lock().expect("lock");
+    harness.input(list(false, replaced));
+    assert!(matches!(harness.next_message(), Some(ToFront::Release(_, CallName(1), Cause(41)))));
+    assert!(matches!(harness.next_command(0), Some(ToHub::Close)));
+    let links = harness.links.lock().expect("lock");
     assert_eq!((links.len(), &*links[2].endpoint), (3, "10.0.0.1:1"));
     drop(links);
-    desk.released(0, 9, 16, RefusalNote::None);
-    assert!(desk.said().is_none(), "the closed link is heard no more");
+    harness.released(0, 9, 16, RefusalNote::None);
+    assert!(harness.next_message().is_none(), "events of a closed link are ignored");
 }
 
 #[test]
-fn a_dead_hub_cuts_what_stood_and_its_set_ups_end_as_the_link_settles_them() {
-    let mut desk = Desk::new();
+fn a_dead_hub_cuts_its_calls_and_its_set_ups_stay_open_until_the_link_reports_their_end() {
+    let mut harness = Harness::new();
     for call in [1, 2] {
-        desk.offer(call, 0);
+        harness.offer(call, 0);
     }
-    let open = desk.set_up(0).expect("the first");
-    assert!(desk.set_up(0).is_some());
-    desk.stands(0, 2);
-    assert!(matches!(desk.said(), Some(ToFront::Answer(..))));
-    desk.hear(0, FromHub::Dead);
-    assert!(matches!(desk.said(), Some(ToFront::Release(_, CallName(2), Cause(41)))));
-    desk.pass(SECOND / 2);
-    assert!(desk.set_up(0).or(desk.set_up(1)).is_none(), "no second copy while the first may still run");
-    desk.hear(0, FromHub::ConnectionLost(CallName(1), open));
-    desk.pass(SECOND / 2);
-    assert!(desk.set_up(0).or(desk.set_up(1)).is_some());
+    let open = harness.next_set_up(0).expect("the first");
+    assert!(harness.next_set_up(0).is_some());
+    harness.answered(0, 2);
+    assert!(matches!(harness.next_message(), Some(ToFront::Answer(..))));
+    harness.hub_event(0, FromHub::Dead);
+    assert!(matches!(harness.next_message(), Some(ToFront::Release(_, CallName(2), Cause(41)))));
+    harness.advance(SECOND / 2);
+    assert!(
+        harness.next_set_up(0).or(harness.next_set_up(1)).is_none(),
+        "no second attempt while the first may still run"
+    );
+    harness.hub_event(0, FromHub::ConnectionLost(CallName(1), open));
+    harness.advance(SECOND / 2);
+    assert!(harness.next_set_up(0).or(harness.next_set_up(1)).is_some());
 }
 
 #[test]
-fn a_hub_that_is_replaced_has_its_set_ups_out_until_its_connections_are_closed() {
-    let mut desk = Desk::new();
-    desk.offer(1, 0);
-    let attempt = desk.set_up(0).expect("sent");
-    desk.tell(list(false, vec![hub("a", "", 0, Phase::Gone)]));
-    assert!(matches!(desk.command(0), Some(ToHub::SetUpCutoff(_)) | Some(ToHub::Close)));
-    desk.pass(SECOND / 2);
-    assert!(desk.command(1).is_none(), "no second copy while the first may still run");
-    desk.stands(0, 1);
-    assert!(desk.said().is_none(), "nor is anything else believed of a link that closes");
-    desk.hear(0, FromHub::ConnectionLost(CallName(1), attempt));
-    desk.hear(0, FromHub::Closed);
-    desk.pass(SECOND / 10);
-    assert!(desk.command(1).is_none(), "the pause");
-    desk.pass(SECOND / 5);
-    assert!(desk.set_up(1).is_some());
-    // A link that forgets a set-up leaves none out for ever.
-    desk.tell(list(false, vec![hub("b", "", 1, Phase::Gone), hub("c", "10.0.0.3:1", 0, Phase::Up)]));
-    desk.hear(1, FromHub::Closed);
-    desk.pass(SECOND / 2);
-    assert!(desk.set_up(2).is_some());
+fn set_ups_at_a_replaced_hub_stay_open_until_its_connections_are_closed() {
+    let mut harness = Harness::new();
+    harness.offer(1, 0);
+    let attempt = harness.next_set_up(0).expect("sent");
+    harness.input(list(false, vec![hub("a", "", 0, Phase::Gone)]));
+    assert!(matches!(harness.next_command(0), Some(ToHub::SetUpCutoff(_)) | Some(ToHub::Close)));
+    harness.advance(SECOND / 2);
+    assert!(harness.next_command(1).is_none(), "no second attempt while the first may still run");
+    harness.answered(0, 1);
+    assert!(harness.next_message().is_none(), "other events of a closing link are ignored");
+    harness.hub_event(0, FromHub::ConnectionLost(CallName(1), attempt));
+    harness.hub_event(0, FromHub::Closed);
+    harness.advance(SECOND / 10);
+    assert!(harness.next_command(1).is_none(), "no attempt during the release pause");
+    harness.advance(SECOND / 5);
+    assert!(harness.next_set_up(1).is_some());
+    // A set-up whose end the link did not report ends when the link is closed.
+    harness.input(list(false, vec![hub("b", "", 1, Phase::Gone), hub("c", "10.0.0.3:1", 0, Phase::Up)]));
+    harness.hub_event(1, FromHub::Closed);
+    harness.advance(SECOND / 2);
+    assert!(harness.next_set_up(2).is_some());
 }
 
 #[test]
-fn a_drain_counts_from_when_the_change_log_may_have_told_it() {
-    let mut desk = Desk::new();
+fn a_drain_takes_effect_when_the_change_log_may_have_announced_it() {
+    let mut harness = Harness::new();
     let told = Micros(START - SECOND);
     let hubs = vec![hub("b", "10.0.0.2:1", 1, Phase::Draining)];
-    desk.tell(Input::HubList(HubListUpdate {
+    harness.input(Input::HubList(HubListUpdate {
         full: false,
         hubs: hubs.clone(),
         effective_since: told,
         seq: 0,
     }));
-    assert!(matches!(desk.command(1), Some(ToHub::SetUpCutoff(Some(t))) if t == told + Micros(2 * SECOND)));
-    desk.pass(SECOND / 2);
-    desk.tell(list(false, hubs));
-    assert!(desk.command(1).is_none(), "told again, it counts from the first time");
-    // A start finds drains in its list that were told long before.
+    assert!(
+        matches!(harness.next_command(1), Some(ToHub::SetUpCutoff(Some(t))) if t == told + Micros(2 * SECOND))
+    );
+    harness.advance(SECOND / 2);
+    harness.input(list(false, hubs));
+    assert!(harness.next_command(1).is_none(), "a repeated drain counts from the first time");
+    // At the start, drains in the configured list have been in effect for long.
     let drains =
         [site::target("a", "10.0.0.1:1", 0, "terminating"), site::target("b", "10.0.0.2:1", 1, "in_service")];
-    let mut desk = Desk::with(|config| config.known = site::config(&drains).known);
+    let mut harness = Harness::with(|config| config.known = site::config(&drains).known);
     for call in 0..10 {
-        desk.offer(call, 0);
-        assert!(desk.set_up(0).is_some(), "the only link is the other hub's");
-        desk.stands(0, call);
+        harness.offer(call, 0);
+        assert!(harness.next_set_up(0).is_some(), "the only link is that of the other hub");
+        harness.answered(0, call);
     }
-    assert_eq!(&*desk.links.lock().expect("lock")[0].endpoint, "10.0.0.2:1");
+    assert_eq!(&*harness.links.lock().expect("lock")[0].endpoint, "10.0.0.2:1");
 }
 
 #[test]
-fn a_test_is_passed_once_the_change_log_was_heard() {
-    let mut desk = Desk::with(|config| config.change_log = "10.0.0.9:1".parse().ok());
-    desk.hear(0, FromHub::LoadReport(Report::default()));
-    desk.hear(1, FromHub::LoadReport(Report::default()));
-    desk.pass(SECOND / 2);
-    assert!(!desk.status.borrow().ready, "a drain may stand there that the start's list lacks");
-    desk.tell(Input::ChangeLogCurrent);
-    desk.pass(10_000);
-    assert!(desk.status.borrow().ready);
-    let mut silent = Desk::with(|config| config.change_log = "10.0.0.9:1".parse().ok());
-    silent.pass(SECOND + 10_000);
-    assert!(silent.status.borrow().ready, "one that cannot be reached keeps nobody out for ever");
-}
-
-/// Each way in which an attempt can end, for each effect: whether the call is sent again, when, and how it
-/// is answered if it is not.
+fn the_core_is_ready_only_after_the_change_log_was_read_or_a_time_out() {
+    let mut harness = Harness::with(|config| config.change_log = "10.0.0.9:1".parse().ok());
+    harness.hub_event(0, FromHub::LoadReport(Report::default()));
+    harness.hub_event(1, FromHub::LoadReport(Report::default()));
+    harness.advance(SECOND / 2);
+    assert!(!harness.status.borrow().ready, "the change log may hold a drain that the configured list lacks");
+    harness.input(Input::ChangeLogCurrent);
+    harness.advance(10_000);
+    assert!(harness.status.borrow().ready);
+    let mut unreachable = Harness::with(|config| config.change_log = "10.0.0.9:1".parse().ok());
+    unreachable.advance(SECOND + 10_000);
+    assert!(
+        unreachable.status.borrow().ready,
+        "an unreachable change log delays readiness only for a limited time"
+    );
+}
+
+/// For each way in which an attempt can end and each effect: whether and when the call is tried again, and how it is
+/// answered if not.
 #[test]
-fn each_end_of_an_attempt_is_followed_as_its_effect_allows() {
+fn each_attempt_end_is_repeated_or_answered_as_the_effect_of_its_class_allows() {
     let released = |cause, note| FromHub::Released(CallName(1), Cause(cause), note, Report::default());
     let attempt = 1;
     let given_up = |began| FromHub::GivenUp { attempt, call: CallName(1), began };
@@ -366,110 +381,113 @@
         (given_up(true), true, true),
     ];
     for effect in [Effect::Free, Effect::Guarded, Effect::SingleShot] {
-        for (end, ran, pause) in &ends {
+        for (end, may_have_run, pause) in &ends {
             let case = format!("{effect:?}, {end:?}");
-            let mut desk = Desk::with(|config| config.settings.classes[0].effect = effect);
-            desk.offer(1, 0);
-            assert_eq!(desk.set_up(0), Some(attempt), "{case}");
-            desk.hear(0, end.clone());
-            desk.pass(190_000);
-            let at_once = desk.set_up(0).or(desk.set_up(1)).is_some();
-            desk.pass(20_000);
-            let later = desk.set_up(0).or(desk.set_up(1)).is_some();
-            let again = effect == Effect::Free || !ran;
-            assert_eq!((at_once, later), (again && !pause, again && *pause), "{case}");
-            if !again {
-                assert!(matches!(desk.said(), Some(ToFront::Fail(..))), "{case}: it may have run");
-                assert!(desk.said().is_none(), "{case}: one answer");
+            let mut harness = Harness::with(|config| config.settings.classes[0].effect = effect);
+            harness.offer(1, 0);
+            assert_eq!(harness.next_set_up(0), Some(attempt), "{case}");
+            harness.hub_event(0, end.clone());
+            harness.advance(190_000);
+            let immediately = harness.next_set_up(0).or(harness.next_set_up(1)).is_some();
+            harness.advance(20_000);
+            let later = harness.next_set_up(0).or(harness.next_set_up(1)).is_some();
+            let repeated = effect == Effect::Free || !may_have_run;
+            assert_eq!((immediately, later), (repeated && !pause, repeated && *pause), "{case}");
+            if !repeated {
+                assert!(matches!(harness.next_message(), Some(ToFront::Fail(..))), "{case}: it may have run");
+                assert!(harness.next_message().is_none(), "{case}: one answer");
             }
         }
-        // Moot, or too late for its first byte: nothing ran, and it may be refused.
+        // Void, or expired before its first byte: nothing ran, so the call may be refused.
         for end in [released(102, RefusalNote::None), FromHub::NotSent(CallName(1), attempt)] {
             let late = matches!(end, FromHub::NotSent(..));
-            let mut desk = Desk::with(|config| config.settings.classes[0].effect = effect);
-            desk.offer(1, 0);
-            desk.now += if late { 3 * SECOND } else { 0 };
-            desk.hear(0, end);
-            assert!(matches!(desk.said(), Some(ToFront::Refuse(..))), "{effect:?}");
+            let mut harness = Harness::with(|config| config.settings.classes[0].effect = effect);
+            harness.offer(1, 0);
+            harness.now += if late { 3 * SECOND } else { 0 };
+            harness.hub_event(0, end);
+            assert!(matches!(harness.next_message(), Some(ToFront::Refuse(..))), "{effect:?}");
         }
     }
 }
 
 #[test]
-fn hubs_that_were_replaced_are_forgotten_and_new_ones_always_taken() {
-    let mut desk = Desk::new();
+fn replaced_hubs_are_forgotten_so_that_new_hubs_are_always_accepted() {
+    let mut harness = Harness::new();
     let (first, second) = (hub("a", "10.0.0.1:1", 0, Phase::Gone), hub("a", "10.0.0.1:1", 0, Phase::Up));
-    desk.tell(list(false, vec![first]));
-    desk.tell(list(false, vec![second]));
+    harness.input(list(false, vec![first]));
+    harness.input(list(false, vec![second]));
     for number in 0..5_000 {
-        desk.now += 1_000;
+        harness.now += 1_000;
         let uid = format!("s-{number}");
-        // Each at the address of the one before.
-        desk.tell(list(false, vec![hub(&uid, "10.0.0.9:1", 1, Phase::Up)]));
-        desk.tell(list(false, vec![hub(&uid, "", 1, Phase::Gone)]));
+        // Each hub has the address of the previous one.
+        harness.input(list(false, vec![hub(&uid, "10.0.0.9:1", 1, Phase::Up)]));
+        harness.input(list(false, vec![hub(&uid, "", 1, Phase::Gone)]));
     }
-    assert!(desk.core.known_hubs() < 1100, "{} hubs known", desk.core.known_hubs());
-    desk.tell(list(false, vec![hub("b", "10.0.0.2:1", 1, Phase::Gone)]));
-    desk.tell(list(false, vec![hub("last", "10.0.0.9:1", 1, Phase::Up)]));
-    desk.offer(1, 1);
-    let last = desk.links.lock().expect("lock").len() - 1;
-    assert!(desk.set_up(last).is_some());
-    desk.offer(2, 0);
-    let set_up = std::iter::from_fn(|| desk.command(2)).any(|c| matches!(c, ToHub::SetUp(_)));
-    assert!(set_up, "the hub that stays serves on through all of it");
+    assert!(harness.core.known_hubs() < 1100, "{} hubs known", harness.core.known_hubs());
+    harness.input(list(false, vec![hub("b", "10.0.0.2:1", 1, Phase::Gone)]));
+    harness.input(list(false, vec![hub("last", "10.0.0.9:1", 1, Phase::Up)]));
+    harness.offer(1, 1);
+    let last = harness.links.lock().expect("lock").len() - 1;
+    assert!(harness.next_set_up(last).is_some());
+    harness.offer(2, 0);
+    let set_up = std::iter::from_fn(|| harness.next_command(2)).any(|c| matches!(c, ToHub::SetUp(_)));
+    assert!(set_up, "the hub that stays in service still gets set-ups");
 }
 
 #[test]
-fn an_answer_under_an_id_that_nobody_knows_means_nothing() {
-    let mut desk = Desk::new();
-    desk.stands(0, 78);
-    assert!(desk.command(0).is_none() && desk.said().is_none());
+fn an_answer_for_an_unknown_call_is_ignored() {
+    let mut harness = Harness::new();
+    harness.answered(0, 78);
+    assert!(harness.next_command(0).is_none() && harness.next_message().is_none());
 }
 
 #[test]
 fn a_release_of_an_unknown_call_is_passed_on_once() {
-    let mut desk = Desk::new();
-    desk.released(0, 77, 16, RefusalNote::None);
-    assert!(matches!(desk.said(), Some(ToFront::Release(None, CallName(77), Cause(16)))));
-    desk.released(1, 77, 16, RefusalNote::None);
-    assert!(desk.said().is_none());
+    let mut harness = Harness::new();
+    harness.released(0, 77, 16, RefusalNote::None);
+    assert!(matches!(harness.next_message(), Some(ToFront::Release(None, CallName(77), Cause(16)))));
+    harness.released(1, 77, 16, RefusalNote::None);
+    assert!(harness.next_message().is_none());
 }
 
 #[test]
-fn a_callers_release_reaches_the_hub_also_for_a_call_from_before_the_start() {
-    let mut desk = Desk::new();
-    desk.offer(1, 0);
-    desk.set_up(0).expect("sent");
-    desk.stands(0, 1);
-    desk.tell(Input::Hangup(FrontId(0), CallName(1), Cause(16)));
-    assert!(matches!(desk.command(0), Some(ToHub::Release(CallName(1), Cause(16)))));
-    assert_eq!(desk.core.open_calls(), 0);
-    desk.tell(Input::Hangup(FrontId(0), CallName(55), Cause(16)));
-    assert!(matches!(desk.command(0), Some(ToHub::Release(CallName(55), _))));
-    assert!(matches!(desk.command(1), Some(ToHub::Release(CallName(55), _))));
+fn a_callers_release_reaches_the_hub_even_for_a_call_from_before_the_start() {
+    let mut harness = Harness::new();
+    harness.offer(1, 0);
+    harness.next_set_up(0).expect("sent");
+    harness.answered(0, 1);
+    harness.input(Input::Hangup(FrontId(0), CallName(1), Cause(16)));
+    assert!(matches!(harness.next_command(0), Some(ToHub::Release(CallName(1), Cause(16)))));
+    assert_eq!(harness.core.open_calls(), 0);
+    harness.input(Input::Hangup(FrontId(0), CallName(55), Cause(16)));
+    assert!(matches!(harness.next_command(0), Some(ToHub::Release(CallName(55), _))));
+    assert!(matches!(harness.next_command(1), Some(ToHub::Release(CallName(55), _))));
 }
 
 #[test]
-fn repeats_unknown_classes_and_foreign_connections_do_no_harm() {
-    let mut desk = Desk::new();
-    desk.offer(1, 0);
-    desk.offer(1, 0);
-    assert!(desk.set_up(0).is_some() && desk.command(0).is_none(), "a repeat starts nothing");
-    desk.tell(Input::Withdrawn(FrontId(0), Origin(6), CallName(1)));
-    assert!(desk.command(0).is_none(), "another connection's end withdraws nothing here");
-    desk.tell(Input::Hangup(FrontId(0), CallName(1), Cause(16)));
-    assert!(desk.command(0).is_none(), "nor does a release of what does not stand yet");
-    assert!(desk.said().is_none());
-    // The same id on another connection is refused there, whether the first one is open or stands.
-    desk.offer_from(6, 1, 0, b"other");
-    assert!(matches!(desk.said(), Some(ToFront::Refuse(Origin(6), CallName(1), _))));
-    desk.stands(0, 1);
-    assert!(matches!(desk.said(), Some(ToFront::Answer(Origin(5), CallName(1), _))));
-    desk.offer_from(6, 1, 0, b"other");
-    assert!(matches!(desk.said(), Some(ToFront::Refuse(Origin(6), CallName(1), _))));
-    assert!(desk.command(0).is_none() && desk.command(1).is_none());
-    let deadline = Some(Micros(desk.now + SECOND));
-    desk.tell(Input::Offer(Offer {
+fn retransmissions_unknown_classes_and_other_connections_start_and_end_nothing() {
+    let mut harness = Harness::new();
+    harness.offer(1, 0);
+    harness.offer(1, 0);
+    assert!(
+        harness.next_set_up(0).is_some() && harness.next_command(0).is_none(),
+        "a retransmission starts no attempt"
+    );
+    harness.input(Input::Withdrawn(FrontId(0), Origin(6), CallName(1)));
+    assert!(harness.next_command(0).is_none(), "the loss of another connection does not withdraw the set-up");
+    harness.input(Input::Hangup(FrontId(0), CallName(1), Cause(16)));
+    assert!(harness.next_command(0).is_none(), "nor does a release of a call that is not established");
+    assert!(harness.next_message().is_none());
+    // The same call name on another connection is refused there, before and after the call is established.
+    harness.offer_from(6, 1, 0, b"other");
+    assert!(matches!(harness.next_message(), Some(ToFront::Refuse(Origin(6), CallName(1), _))));
+    harness.answered(0, 1);
+    assert!(matches!(harness.next_message(), Some(ToFront::Answer(Origin(5), CallName(1), _))));
+    harness.offer_from(6, 1, 0, b"other");
+    assert!(matches!(harness.next_message(), Some(ToFront::Refuse(Origin(6), CallName(1), _))));
+    assert!(harness.next_command(0).is_none() && harness.next_command(1).is_none());
+    let deadline = Some(Micros(harness.now + SECOND));
+    harness.input(Input::Offer(Offer {
         front: FrontId(0),
         origin: Origin(5),
         call: CallName(2),
@@ -481,184 +499,195 @@
         returned: false,
         description: Description::default(),
     }));
-    assert!(matches!(desk.said(), Some(ToFront::Fail(_, CallName(2)))));
+    assert!(matches!(harness.next_message(), Some(ToFront::Fail(_, CallName(2)))));
 }
 
 #[test]
-fn a_stop_refuses_what_is_left_at_its_time() {
-    let mut desk = Desk::new();
-    desk.offer(1, 0);
-    desk.tell(Input::Shutdown(Micros(desk.now + SECOND / 2)));
-    desk.pass(5_000);
-    assert_eq!(*desk.status.borrow(), Status { ready: false, stopping: true, unanswered: 1 });
-    desk.pass(SECOND / 2);
-    assert!(matches!(desk.said(), Some(ToFront::Refuse(_, CallName(1), _))));
-    desk.pass(5_000);
-    assert_eq!(desk.status.borrow().unanswered, 0);
+fn a_shutdown_refuses_calls_still_open_at_its_time() {
+    let mut harness = Harness::new();
+    harness.offer(1, 0);
+    harness.input(Input::Shutdown(Micros(harness.now + SECOND / 2)));
+    harness.advance(5_000);
+    assert_eq!(*harness.status.borrow(), Status { ready: false, stopping: true, unanswered: 1 });
+    harness.advance(SECOND / 2);
+    assert!(matches!(harness.next_message(), Some(ToFront::Refuse(_, CallName(1), _))));
+    harness.advance(5_000);
+    assert_eq!(harness.status.borrow().unanswered, 0);
 }
 
 #[test]
-fn descriptions_are_bounded_together_and_give_their_room_back() {
-    let mut desk = Desk::with(|c| c.limits.description_bytes = 25_000);
+fn the_total_size_of_descriptions_is_bounded_and_released_with_the_calls() {
+    let mut harness = Harness::with(|c| c.limits.description_bytes = 25_000);
     let body = [b'v'; 10_000];
     for call in [1, 2, 3] {
-        desk.offer_with(call, 0, &body);
+        harness.offer_with(call, 0, &body);
     }
-    assert!(matches!(desk.said(), Some(ToFront::Refuse(_, CallName(3), _))));
-    desk.stands(0, 1);
-    assert!(matches!(desk.said(), Some(ToFront::Answer(_, CallName(1), _))));
-    desk.offer_with(4, 0, &body);
-    assert!(desk.said().is_none(), "a call that stands needs its description no more");
-    desk.released(0, 2, 17, RefusalNote::NumberBusy);
-    assert!(matches!(desk.said(), Some(ToFront::Fail(..) | ToFront::Refuse(..))));
-    desk.offer_with(5, 0, &body);
-    assert!(desk.said().is_none(), "nor does one that is over");
+    assert!(matches!(harness.next_message(), Some(ToFront::Refuse(_, CallName(3), _))));
+    harness.answered(0, 1);
+    assert!(matches!(harness.next_message(), Some(ToFront::Answer(_, CallName(1), _))));
+    harness.offer_with(4, 0, &body);
+    assert!(harness.next_message().is_none(), "an established call no longer holds its description");
+    harness.released(0, 2, 17, RefusalNote::NumberBusy);
+    assert!(matches!(harness.next_message(), Some(ToFront::Fail(..) | ToFront::Refuse(..))));
+    harness.offer_with(5, 0, &body);
+    assert!(harness.next_message().is_none(), "nor does an ended call");
 }
 
 #[test]
-fn a_planned_end_half_way_through_a_picture_still_gives_a_whole_one() {
-    let (mut desk, latest) = keeping(None);
+fn a_shutdown_during_a_state_collection_still_exports_all_hubs_once() {
+    let (mut harness, latest) = exporting(None);
     let hubs = (0..1000).map(|n| hub(&format!("h-{n}"), "10.0.0.9:1", n, Phase::Up)).collect();
-    desk.tell(list(true, hubs));
-    desk.pass(SECOND + 15_000);
-    assert!(latest.borrow().is_none(), "it is being gathered");
-    desk.tell(Input::ExportState);
-    let picture = latest.borrow().clone().expect("whole");
-    let names: std::collections::BTreeSet<_> = picture.hubs.iter().map(|k| k.hub.uid.clone()).collect();
-    assert_eq!((picture.hubs.len(), names.len()), (1000, 1000));
+    harness.input(list(true, hubs));
+    harness.advance(SECOND + 15_000);
+    assert!(latest.borrow().is_none(), "the collection is not complete");
+    harness.input(Input::ExportState);
+    let state = latest.borrow().clone().expect("complete");
+    let names: std::collections::BTreeSet<_> = state.hubs.iter().map(|k| k.hub.uid.clone()).collect();
+    assert_eq!((state.hubs.len(), names.len()), (1000, 1000));
 }
 
 #[test]
-fn hubs_of_the_operators_file_are_kept_where_no_list_ever_comes() {
-    let (mut desk, latest) = keeping(None);
-    desk.core.add_configured_hubs(Micros(START), vec![hub("desk", "iax2:10.0.0.8:4569", 0, Phase::Up)]);
-    desk.tell(Input::ExportState);
-    assert_eq!(latest.borrow().as_ref().expect("handed out").hubs.len(), 1);
-}
-
-/// A core with pictures every second, which has heard no list yet, and recalls something if it is given.
-fn keeping(memory: Option<RestoredState>) -> (Desk, watch::Receiver<Option<Arc<LearnedState>>>) {
-    let mut desk = Desk::with(|config| config.known.events.clear());
-    let (pictures, latest) = watch::channel(None);
-    desk.core.export_state(pictures, Micros(SECOND), Micros(START));
-    if let Some(memory) = memory {
-        desk.core.restore(memory);
+fn hubs_of_the_operators_file_are_exported_without_any_list() {
+    let (mut harness, latest) = exporting(None);
+    harness.core.add_configured_hubs(Micros(START), vec![hub("desk", "iax2:10.0.0.8:4569", 0, Phase::Up)]);
+    harness.input(Input::ExportState);
+    assert_eq!(latest.borrow().as_ref().expect("exported").hubs.len(), 1);
+}
+
+/// A core that exports its state every second and has received no list. It restores the given state, if any.
+fn exporting(restored: Option<RestoredState>) -> (Harness, watch::Receiver<Option<Arc<LearnedState>>>) {
+    let mut harness = Harness::with(|config| config.known.events.clear());
+    let (sender, latest) = watch::channel(None);
+    harness.core.export_state(sender, Micros(SECOND), Micros(START));
+    if let Some(restored) = restored {
+        harness.core.restore(restored);
     }
-    (desk, latest)
+    (harness, latest)
 }
 
-fn kept(uid: &str, endpoint: &str, place: i64) -> LearnedHub {
+fn learned_hub(uid: &str, endpoint: &str, place: i64) -> LearnedHub {
     let hub = Identity { uid: uid.into(), endpoint: endpoint.into(), place, born: None };
     let belief = Belief { heard: Micros(START - SECOND), pass: 0.1, carries: 3.0, ..Belief::default() };
     LearnedHub { hub, belief }
 }
 
 #[test]
-fn pictures_are_handed_out_after_the_first_list_a_few_hubs_at_a_tick() {
-    let (mut desk, mut latest) = keeping(None);
-    desk.pass(5 * SECOND);
-    desk.tell(Input::ExportState);
-    assert!(latest.borrow_and_update().is_none(), "nothing is known before the first list");
+fn state_is_exported_only_after_the_first_list_and_a_few_hubs_per_tick() {
+    let (mut harness, mut latest) = exporting(None);
+    harness.advance(5 * SECOND);
+    harness.input(Input::ExportState);
+    assert!(latest.borrow_and_update().is_none(), "nothing is exported before the first list");
     let hubs = (0..1000).map(|n| hub(&format!("h-{n}"), "10.0.0.9:1", n, Phase::Up)).collect();
-    desk.tell(list(true, hubs));
-    desk.pass(20_000);
-    assert!(latest.borrow().is_none(), "not all at one tick");
-    desk.pass(30_000);
-    let picture = latest.borrow_and_update().clone().expect("whole");
-    assert_eq!(picture.hubs.len(), 1000);
-    assert_eq!(picture.hold, 8.0);
-    // The next comes a second after; at the end one comes at once, without what is gone.
-    desk.tell(list(false, vec![hub("h-3", "", 3, Phase::Gone)]));
-    desk.pass(900_000);
+    harness.input(list(true, hubs));
+    harness.advance(20_000);
+    assert!(latest.borrow().is_none(), "not all hubs are collected at one tick");
+    harness.advance(30_000);
+    let state = latest.borrow_and_update().clone().expect("complete");
+    assert_eq!(state.hubs.len(), 1000);
+    assert_eq!(state.hold, 8.0);
+    // The next export follows a second later. On request one is made at once, without hubs that are gone.
+    harness.input(list(false, vec![hub("h-3", "", 3, Phase::Gone)]));
+    harness.advance(900_000);
     assert!(!latest.has_changed().expect("open"));
-    desk.tell(Input::ExportState);
-    assert_eq!(latest.borrow_and_update().as_ref().expect("at once").hubs.len(), 999);
+    harness.input(Input::ExportState);
+    assert_eq!(latest.borrow_and_update().as_ref().expect("exported on request").hubs.len(), 999);
 }
 
 #[test]
-fn what_was_kept_is_recalled_for_the_same_hub_and_kept_on_for_one_not_named_yet() {
-    let hubs = vec![kept("a", "10.0.0.1:1", 0), kept("b", "10.0.0.7:1", 1), kept("late", "10.0.0.3:1", 2)];
-    let picture = LearnedState { at: Micros(START - SECOND), hold: 5.0, hubs };
-    let memory = RestoredState::new(picture, DecaySettings::default(), Micros(START)).0;
-    let (mut desk, latest) = keeping(Some(memory));
-    // b has another address by now: another machine.
-    desk.tell(list(true, vec![hub("a", "10.0.0.1:1", 0, Phase::Up), hub("b", "10.0.0.2:1", 1, Phase::Up)]));
-    desk.tell(Input::ExportState);
-    let now_kept = |latest: &watch::Receiver<Option<Arc<LearnedState>>>, uid: &str| {
-        let picture = latest.borrow().clone().expect("handed out");
-        picture.hubs.iter().find(|k| &*k.hub.uid == uid).map(|k| (k.belief.pass, k.belief.heard))
+fn saved_state_is_restored_for_the_same_hub_only_and_kept_for_hubs_not_listed_yet() {
+    let hubs = vec![
+        learned_hub("a", "10.0.0.1:1", 0),
+        learned_hub("b", "10.0.0.7:1", 1),
+        learned_hub("late", "10.0.0.3:1", 2),
+    ];
+    let state = LearnedState { at: Micros(START - SECOND), hold: 5.0, hubs };
+    let memory = RestoredState::new(state, DecaySettings::default(), Micros(START)).0;
+    let (mut harness, latest) = exporting(Some(memory));
+    // Hub b has another address than before, so it is another machine.
+    harness
+        .input(list(true, vec![hub("a", "10.0.0.1:1", 0, Phase::Up), hub("b", "10.0.0.2:1", 1, Phase::Up)]));
+    harness.input(Input::ExportState);
+    let exported = |latest: &watch::Receiver<Option<Arc<LearnedState>>>, uid: &str| {
+        let state = latest.borrow().clone().expect("exported");
+        state.hubs.iter().find(|k| &*k.hub.uid == uid).map(|k| (k.belief.pass, k.belief.heard))
     };
-    assert_eq!(latest.borrow().as_ref().expect("handed out").hold, 5.0);
-    let (pass, heard) = now_kept(&latest, "a").expect("kept");
+    assert_eq!(latest.borrow().as_ref().expect("exported").hold, 5.0);
+    let (pass, heard) = exported(&latest, "a").expect("exported");
     assert!(pass < 0.2 && heard == Micros(START - SECOND), "{pass} {heard:?}");
-    assert_eq!(now_kept(&latest, "b"), Some((1.0, Micros(0))), "nothing is known of it");
-    assert_eq!(now_kept(&latest, "late"), Some((0.1, Micros(START - SECOND))));
-    // A list that names it later finds it; one that leaves and comes back does not find it again.
-    desk.tell(list(false, vec![hub("late", "10.0.0.3:1", 2, Phase::Up)]));
-    desk.tell(Input::ExportState);
-    assert!(now_kept(&latest, "late").expect("kept").0 < 0.2);
-    desk.tell(list(false, vec![hub("late", "10.0.0.3:1", 2, Phase::Gone)]));
-    desk.tell(list(false, vec![hub("late", "10.0.0.3:1", 2, Phase::Up)]));
-    desk.tell(Input::ExportState);
-    assert_eq!(now_kept(&latest, "late"), Some((1.0, Micros(0))));
+    assert_eq!(exported(&latest, "b"), Some((1.0, Micros(0))), "no state is restored for it");
+    assert_eq!(exported(&latest, "late"), Some((0.1, Micros(START - SECOND))));
+    // A list that names it later restores its state; after it has left and returned, nothing is restored.
+    harness.input(list(false, vec![hub("late", "10.0.0.3:1", 2, Phase::Up)]));
+    harness.input(Input::ExportState);
+    assert!(exported(&latest, "late").expect("exported").0 < 0.2);
+    harness.input(list(false, vec![hub("late", "10.0.0.3:1", 2, Phase::Gone)]));
+    harness.input(list(false, vec![hub("late", "10.0.0.3:1", 2, Phase::Up)]));
+    harness.input(Input::ExportState);
+    assert_eq!(exported(&latest, "late"), Some((1.0, Micros(0))));
 }
 
 #[test]
-fn a_hub_at_the_address_of_one_that_was_not_told_gone_succeeds_it() {
-    let mut desk = Desk::new();
-    desk.offer(1, 0);
-    desk.set_up(0).expect("at a");
-    desk.stands(0, 1);
-    assert!(matches!(desk.said(), Some(ToFront::Answer(..))));
-    // The end of 'a' is late, or lost: who has its address now is another process.
-    desk.tell(list(false, vec![hub("c", "10.0.0.1:1", 0, Phase::Up)]));
-    assert!(matches!(desk.command(0), Some(ToHub::Close)), "nothing dials that address for 'a' any more");
-    assert!(matches!(desk.said(), Some(ToFront::Release(Some(_), CallName(1), Cause(41)))));
-    desk.hear(0, FromHub::Closed);
-    assert_eq!(desk.links.lock().expect("lock")[2].endpoint, "10.0.0.1:1");
-    desk.offer(2, 0);
-    assert!(desk.set_up(2).is_some(), "the new one has its place");
-    // What comes late about 'a' takes nothing from its successor.
-    desk.tell(list(false, vec![hub("a", "10.0.0.1:1", 0, Phase::Gone)]));
-    assert!(desk.command(2).is_none());
+fn a_hub_at_the_address_of_another_that_is_not_known_to_be_gone_replaces_it() {
+    let mut harness = Harness::new();
+    harness.offer(1, 0);
+    harness.next_set_up(0).expect("at a");
+    harness.answered(0, 1);
+    assert!(matches!(harness.next_message(), Some(ToFront::Answer(..))));
+    // The list entry that removes 'a' is late or lost, and another process has its address now.
+    harness.input(list(false, vec![hub("c", "10.0.0.1:1", 0, Phase::Up)]));
+    assert!(
+        matches!(harness.next_command(0), Some(ToHub::Close)),
+        "the link of 'a' must not dial that address any more"
+    );
+    assert!(matches!(harness.next_message(), Some(ToFront::Release(Some(_), CallName(1), Cause(41)))));
+    harness.hub_event(0, FromHub::Closed);
+    assert_eq!(harness.links.lock().expect("lock")[2].endpoint, "10.0.0.1:1");
+    harness.offer(2, 0);
+    assert!(harness.next_set_up(2).is_some(), "the new hub serves its place");
+    // The late removal of 'a' does not affect the hub that replaced it.
+    harness.input(list(false, vec![hub("a", "10.0.0.1:1", 0, Phase::Gone)]));
+    assert!(harness.next_command(2).is_none());
 }
 
 #[test]
-fn what_may_have_run_is_not_refused_nor_sent_again_unless_its_class_bears_it() {
+fn a_call_that_may_have_run_is_neither_refused_nor_repeated_unless_its_class_allows() {
     for (effect, refused) in [(Effect::Free, true), (Effect::Guarded, false), (Effect::SingleShot, false)] {
-        let mut desk = Desk::with(|config| config.settings.classes[0].effect = effect);
+        let mut harness = Harness::with(|config| config.settings.classes[0].effect = effect);
         for call in [1, 2] {
-            desk.offer(call, 0);
+            harness.offer(call, 0);
         }
-        desk.set_up(0).expect("at a");
-        desk.set_up(0).expect("at a");
-        // A planned end comes while one is out and one waits for its pause to pass.
-        desk.tell(Input::Shutdown(Micros(desk.now + 100_000)));
-        desk.hear(0, FromHub::ConnectionLost(CallName(2), 2));
-        desk.pass(150_000);
-        let mut said = Vec::new();
-        while let Some(message) = desk.said() {
-            said.push(matches!(message, ToFront::Refuse(..)));
+        harness.next_set_up(0).expect("at a");
+        harness.next_set_up(0).expect("at a");
+        // The shutdown comes while one attempt is open and one call waits for its release pause to end.
+        harness.input(Input::Shutdown(Micros(harness.now + 100_000)));
+        harness.hub_event(0, FromHub::ConnectionLost(CallName(2), 2));
+        harness.advance(150_000);
+        let mut refusals = Vec::new();
+        while let Some(message) = harness.next_message() {
+            refusals.push(matches!(message, ToFront::Refuse(..)));
         }
-        assert_eq!(said, [refused, refused], "{effect:?}");
-        assert!(matches!(desk.command(0), Some(ToHub::GiveUp(CallName(1), 1))), "and the hub is told");
+        assert_eq!(refusals, [refused, refused], "{effect:?}");
+        assert!(
+            matches!(harness.next_command(0), Some(ToHub::GiveUp(CallName(1), 1))),
+            "and the open attempt is given up"
+        );
     }
 }
 
 #[test]
-fn who_does_not_say_how_long_it_waits_waits_as_long_as_its_class_and_no_longer_than_the_longest() {
+fn a_call_without_a_deadline_gets_that_of_its_class_and_long_deadlines_are_capped() {
     for (asked, class_ms, waits_ms) in [
         (None, 900, 900),
         (Some(1_500), 900, 1_500),
         (Some(500_000), 900, 60_000),
         (Some(500_000), 90_000, 90_000),
     ] {
-        let mut desk = Desk::with(|config| {
+        let mut harness = Harness::with(|config| {
             config.settings.classes[0].deadline = Micros(class_ms * 1000);
             config.settings.classes[0].objective = Micros(class_ms * 500);
         });
-        let now = desk.now;
-        desk.tell(Input::Offer(Offer {
+        let now = harness.now;
+        harness.input(Input::Offer(Offer {
             front: FrontId(0),
             origin: Origin(5),
             call: CallName(1),
@@ -670,7 +699,7 @@
             returned: false,
             description: Description::default(),
         }));
-        let Some(ToHub::SetUp(set_up)) = desk.command(0) else { panic!("sent") };
+        let Some(ToHub::SetUp(set_up)) = harness.next_command(0) else { panic!("no set-up was sent") };
         let until = set_up.until.0;
         let end = now + waits_ms * 1000;
         assert!((end - 100_000..=end).contains(&until), "{asked:?} {class_ms}: {}", until - now);
@@ -678,8 +707,8 @@
 }
 
 #[tokio::test]
-async fn a_set_up_that_is_withdrawn_while_it_waits_in_the_queue_is_not_sent_on() {
-    let desk = Desk::new();
+async fn a_set_up_withdrawn_while_it_waits_in_the_queue_is_not_sent() {
+    let harness = Harness::new();
     let offer = |call: u64, origin: u64| {
         Input::Offer(Offer {
             front: FrontId(0),
@@ -694,14 +723,22 @@
             description: Description::default(),
         })
     };
-    let gone = |call: u64, origin: u64| Input::Withdrawn(FrontId(0), Origin(origin), CallName(call));
+    let withdrawn = |call: u64, origin: u64| Input::Withdrawn(FrontId(0), Origin(origin), CallName(call));
     let (inputs, queue) = mpsc::channel(INPUT_QUEUE_CAPACITY);
-    // All of it is there before the core looks. The second is withdrawn by one that does not own it; the third
-    // is withdrawn and then comes again.
-    for input in [offer(1, 5), offer(2, 5), offer(3, 5), gone(1, 5), gone(2, 9), gone(3, 5), offer(3, 5)] {
+    // All inputs are queued before the core runs. The withdrawal of the second call comes from another connection; the
+    // third call is withdrawn and then offered again.
+    for input in [
+        offer(1, 5),
+        offer(2, 5),
+        offer(3, 5),
+        withdrawn(1, 5),
+        withdrawn(2, 9),
+        withdrawn(3, 5),
+        offer(3, 5),
+    ] {
         inputs.send(input).await.expect("taken");
     }
-    let Desk { core, links, front: _front, .. } = desk;
+    let Harness { core, links, front: _front, .. } = harness;
     drop(inputs);
     petreldock::core::run(core, queue, Clock::system()).await;
     let mut sent = Vec::new();
--- a/tests/learning.rs
+++ b/tests/learning.rs
@@ -1,4 +1,4 @@
-//! What is kept of beliefs: its form and old forms, how it ages, and whose it is.
+//! Tests of the learned state: its encoding and old versions, its decay with age, and which hub it is restored for.
 
 use petreldock::interface::{Belief, Micros};
 use petreldock::learning::{
@@ -8,7 +8,7 @@
 use quickcheck::{Arbitrary, Gen};
 
 const SECOND: u64 = 1_000_000;
-const AT: Micros = Micros(1_700_000_000 * SECOND);
+const SAVED_AT: Micros = Micros(1_700_000_000 * SECOND);
 
 fn identity(uid: &str) -> Identity {
     Identity { uid: uid.into(), endpoint: "10.0.0.1:1".into(), place: 2, born: None }
@@ -16,7 +16,7 @@
 
 fn belief() -> Belief {
     Belief {
-        heard: AT,
+        heard: SAVED_AT,
         carried: 25.0,
         carries: 8.0,
         can_take: 9.0,
@@ -25,91 +25,104 @@
         weight: 0.25,
         pass: 0.5,
         share: 0.5,
-        share_until: AT + Micros(4 * SECOND),
+        share_until: SAVED_AT + Micros(4 * SECOND),
         silent: true,
         cold_until: Micros(0),
     }
 }
 
-fn picture(uids: &[&str]) -> LearnedState {
+fn learned_state(uids: &[&str]) -> LearnedState {
     let hubs = uids.iter().map(|uid| LearnedHub { hub: identity(uid), belief: belief() }).collect();
-    LearnedState { at: AT, hold: 8.5, hubs }
+    LearnedState { at: SAVED_AT, hold: 8.5, hubs }
 }
 
-/// What is recalled of a hub so many microseconds after it was kept.
-fn after(age: u64) -> Option<Belief> {
-    let now = AT + Micros(age);
-    RestoredState::new(picture(&["a"]), DecaySettings::default(), now).0.recall(&identity("a"), now)
+/// Returns the belief restored for a hub this many microseconds after it was saved.
+fn restored_after(age: u64) -> Option<Belief> {
+    let now = SAVED_AT + Micros(age);
+    RestoredState::new(learned_state(&["a"]), DecaySettings::default(), now).0.recall(&identity("a"), now)
 }
 
 #[test]
-fn facts_count_for_less_the_older_they_are_and_then_for_nothing() {
-    let fresh = after(0).expect("recalled");
+fn values_decay_with_age_and_are_dropped_past_the_maximum_age() {
+    let fresh = restored_after(0).expect("restored");
     assert_eq!(fresh, belief());
     let (mut wait, mut weight, mut pass) = (fresh.wait, fresh.weight, fresh.pass);
     for seconds in 1..900 {
-        let b = after(seconds * SECOND).expect("not too old");
+        let b = restored_after(seconds * SECOND).expect("not too old");
         assert!(b.wait <= wait && b.weight >= weight && b.pass >= pass, "at {seconds} s");
         (wait, weight, pass) = (b.wait, b.weight, b.pass);
     }
-    let half = after(2 * SECOND).expect("recalled");
-    assert_eq!(half.wait, Micros(400_000), "the half-life of waits");
+    let half = restored_after(2 * SECOND).expect("restored");
+    assert_eq!(half.wait, Micros(400_000), "waits halve after their half-life");
     assert!(half.silent && half.share == 0.5);
-    let later = after(15 * SECOND).expect("recalled");
+    let later = restored_after(15 * SECOND).expect("restored");
     assert_eq!((later.weight, later.pass, later.share, later.silent), (0.625, 0.75, 0.0, false));
     assert_eq!(later.carries, 8.0);
-    let old = after(60 * SECOND).expect("recalled");
-    assert_eq!((old.carries, old.can_take, old.carried), (0.0, 0.0, 25.0), "the machine is the same still");
-    assert_eq!(after(901 * SECOND), None, "past the stated age nothing steers");
+    let old = restored_after(60 * SECOND).expect("restored");
+    assert_eq!(
+        (old.carries, old.can_take, old.carried),
+        (0.0, 0.0, 25.0),
+        "the carried rate decays slowly because the machine is the same"
+    );
+    assert_eq!(restored_after(901 * SECOND), None, "nothing is restored past the maximum age");
 }
 
 #[test]
-fn a_clock_that_jumped_makes_the_age_unknown_or_great() {
-    let (mut memory, taken) =
-        RestoredState::new(picture(&["a"]), DecaySettings::default(), AT - Micros(5 * SECOND));
-    assert!(taken.from_future && taken.hubs == 0 && taken.dropped == 1);
-    assert_eq!(memory.recall(&identity("a"), AT), None);
-    assert_eq!(memory.hold(AT - Micros(5 * SECOND)), None);
-    let (_, taken) =
-        RestoredState::new(picture(&["a"]), DecaySettings::default(), AT + Micros(86_400 * SECOND));
-    assert!(taken.too_old && taken.hubs == 0);
-    // One hub alone that claims so, in a picture that is sound.
-    let mut one = picture(&["a", "b"]);
-    one.hubs[0].belief.heard = AT + Micros(60 * SECOND);
-    let (mut memory, taken) = RestoredState::new(one, DecaySettings::default(), AT);
-    assert_eq!((taken.hubs, taken.dropped), (1, 1));
-    assert!(memory.recall(&identity("a"), AT).is_none() && memory.recall(&identity("b"), AT).is_some());
+fn state_from_the_future_or_too_old_after_a_clock_jump_is_dropped() {
+    let (mut restored, summary) =
+        RestoredState::new(learned_state(&["a"]), DecaySettings::default(), SAVED_AT - Micros(5 * SECOND));
+    assert!(summary.from_future && summary.hubs == 0 && summary.dropped == 1);
+    assert_eq!(restored.recall(&identity("a"), SAVED_AT), None);
+    assert_eq!(restored.hold(SAVED_AT - Micros(5 * SECOND)), None);
+    let (_, summary) = RestoredState::new(
+        learned_state(&["a"]),
+        DecaySettings::default(),
+        SAVED_AT + Micros(86_400 * SECOND),
+    );
+    assert!(summary.too_old && summary.hubs == 0);
+    // A single hub from the future in an otherwise valid state.
+    let mut one = learned_state(&["a", "b"]);
+    one.hubs[0].belief.heard = SAVED_AT + Micros(60 * SECOND);
+    let (mut restored, summary) = RestoredState::new(one, DecaySettings::default(), SAVED_AT);
+    assert_eq!((summary.hubs, summary.dropped), (1, 1));
+    assert!(
+        restored.recall(&identity("a"), SAVED_AT).is_none()
+            && restored.recall(&identity("b"), SAVED_AT).is_some()
+    );
 }
 
 #[test]
-fn a_hub_is_itself_by_name_start_address_and_place() {
+fn state_is_restored_once_and_only_for_the_same_name_start_address_and_place() {
     let recall = |change: fn(&mut Identity)| {
         let mut hub = identity("a");
         change(&mut hub);
-        RestoredState::new(picture(&["a"]), DecaySettings::default(), AT).0.recall(&hub, AT)
+        RestoredState::new(learned_state(&["a"]), DecaySettings::default(), SAVED_AT).0.recall(&hub, SAVED_AT)
     };
     assert!(recall(|_| {}).is_some());
     assert_eq!(recall(|h| h.uid = "b".into()), None);
     assert_eq!(recall(|h| h.endpoint = "10.0.0.2:1".into()), None);
     assert_eq!(recall(|h| h.place = 3), None);
-    assert_eq!(recall(|h| h.born = Some(AT)), None, "it started anew and is cold");
-    // Each is recalled once: one that leaves and comes back is not what it was.
-    let mut memory = RestoredState::new(picture(&["a"]), DecaySettings::default(), AT).0;
-    assert!(memory.recall(&identity("a"), AT).is_some() && memory.recall(&identity("a"), AT).is_none());
+    assert_eq!(recall(|h| h.born = Some(SAVED_AT)), None, "a restarted hub is cold");
+    // Each hub is restored once: a hub that leaves and returns may have changed.
+    let mut restored = RestoredState::new(learned_state(&["a"]), DecaySettings::default(), SAVED_AT).0;
+    assert!(
+        restored.recall(&identity("a"), SAVED_AT).is_some()
+            && restored.recall(&identity("a"), SAVED_AT).is_none()
+    );
 }
 
 #[test]
-fn what_was_recalled_does_not_grow_young_by_being_kept_again() {
-    let mut again = picture(&["a"]);
-    again.at = AT + Micros(300 * SECOND);
-    let now = again.at;
-    let (mut memory, _) = RestoredState::new(again, DecaySettings::default(), now);
-    assert_eq!(memory.recall(&identity("a"), now), after(300 * SECOND));
+fn restored_state_that_is_saved_again_keeps_its_age() {
+    let mut saved_again = learned_state(&["a"]);
+    saved_again.at = SAVED_AT + Micros(300 * SECOND);
+    let now = saved_again.at;
+    let (mut restored, _) = RestoredState::new(saved_again, DecaySettings::default(), now);
+    assert_eq!(restored.recall(&identity("a"), now), restored_after(300 * SECOND));
 }
 
 #[test]
-fn absurd_figures_are_dropped_and_numbers_are_bounded() {
-    let absurd: [fn(&mut LearnedHub); 10] = [
+fn hubs_with_implausible_values_and_hubs_beyond_the_limit_are_dropped() {
+    let implausible: [fn(&mut LearnedHub); 10] = [
         |k| k.belief.weight = 1.5,
         |k| k.belief.pass = -0.1,
         |k| k.belief.share = f64::NAN,
@@ -121,48 +134,48 @@
         |k| k.hub.uid = "x".repeat(300).into(),
         |k| k.hub.endpoint = "x".repeat(300).into(),
     ];
-    for (nth, spoil) in absurd.into_iter().enumerate() {
-        let mut spoilt = picture(&["a", "b", "b"]);
-        spoil(&mut spoilt.hubs[0]);
-        let (_, taken) = RestoredState::new(spoilt, DecaySettings::default(), AT);
-        assert_eq!((taken.hubs, taken.dropped), (1, 2), "case {nth}; one name twice is dropped as well");
+    for (nth, change) in implausible.into_iter().enumerate() {
+        let mut changed = learned_state(&["a", "b", "b"]);
+        change(&mut changed.hubs[0]);
+        let (_, summary) = RestoredState::new(changed, DecaySettings::default(), SAVED_AT);
+        assert_eq!((summary.hubs, summary.dropped), (1, 2), "case {nth}; a repeated name is dropped as well");
     }
     let names: Vec<String> = (0..MAX_HUBS + 50).map(|n| format!("s-{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let (memory, taken) = RestoredState::new(picture(&names), DecaySettings::default(), AT);
-    assert_eq!((taken.hubs, taken.dropped), (MAX_HUBS, 50));
-    assert_eq!(memory.unlisted(AT).count(), MAX_HUBS, "kept on until a list names them");
-    assert_eq!(memory.unlisted(AT + Micros(901 * SECOND)).count(), 0);
+    let (restored, summary) = RestoredState::new(learned_state(&names), DecaySettings::default(), SAVED_AT);
+    assert_eq!((summary.hubs, summary.dropped), (MAX_HUBS, 50));
+    assert_eq!(restored.unlisted(SAVED_AT).count(), MAX_HUBS, "kept until a list names them");
+    assert_eq!(restored.unlisted(SAVED_AT + Micros(901 * SECOND)).count(), 0);
 }
 
 #[test]
-fn a_picture_comes_back_as_it_was() {
-    let mut kept = picture(&["a", "b\"\\\u{e9}\n"]);
+fn an_encoded_state_decodes_to_the_same_state() {
+    let mut kept = learned_state(&["a", "b\"\\\u{e9}\n"]);
     kept.hubs[1].hub.born = Some(Micros(7));
     kept.hubs[1].belief = Belief { carried: 0.1 + 0.2, ..Belief::default() };
     assert_eq!(decode(VERSION, &encode(&kept)), Ok(kept));
 }
 
 #[test]
-fn a_file_of_version_1_is_read() {
+fn a_file_of_version_1_is_migrated() {
     let bytes = include_bytes!("data/learning-v1");
-    let (header, payload) = store::read(bytes).expect("whole");
+    let (header, payload) = store::read(bytes).expect("a valid snapshot");
     assert_eq!(header.version, 1);
     let read = decode(1, payload).expect("migrated");
     let [kept] = &read.hubs[..] else { panic!("one hub: {read:?}") };
     assert_eq!((&*kept.hub.uid, &*kept.hub.endpoint, kept.hub.born), ("toy-1", "127.0.0.1:5071", None));
     assert_eq!((kept.belief.carries, kept.belief.can_take), (20.0, 0.0));
-    assert_eq!(kept.belief.heard, read.at, "all was as old as the file");
+    assert_eq!(kept.belief.heard, read.at, "the age of the hub is that of the file");
     assert_eq!((read.at, read.hold), (Micros(1_796_143_036_665_422), 9.406250000000002));
-    let later = decode(VERSION + 1, payload).expect_err("not known yet");
+    let later = decode(VERSION + 1, payload).expect_err("unknown version");
     assert!(later.contains("later version"), "{later}");
 }
 
 #[test]
-fn garbled_payloads_are_refused_or_read_and_none_panics() {
-    let whole = encode(&picture(&["a", "b"]));
+fn corrupt_payloads_are_rejected_or_decoded_without_a_panic() {
+    let whole = encode(&learned_state(&["a", "b"]));
     for cut in 0..whole.len() {
-        assert!(decode(VERSION, &whole[..cut]).is_err(), "cut at {cut}");
+        assert!(decode(VERSION, &whole[..cut]).is_err(), "truncated at {cut}");
     }
     for seed in 0..3000 {
         let mut gen = Gen::from_size_and_seed(120, seed);
@@ -173,12 +186,12 @@
             let at = usize::arbitrary(&mut gen) % changed.len();
             changed[at] = u8::arbitrary(&mut gen);
         }
-        // What is still JSON of the form must pass the second look without a panic.
+        // A payload that still decodes must be validated without a panic.
         for version in [1, VERSION] {
             if let Ok(read) = decode(version, &changed) {
-                let (mut memory, taken) = RestoredState::new(read, DecaySettings::default(), AT);
-                assert!(taken.hubs <= 2);
-                let recalled = memory.recall(&identity("a"), AT);
+                let (mut restored, summary) = RestoredState::new(read, DecaySettings::default(), SAVED_AT);
+                assert!(summary.hubs <= 2);
+                let recalled = restored.recall(&identity("a"), SAVED_AT);
                 assert!(recalled.is_none_or(|b| (0.0..=1.0).contains(&b.weight) && b.carries <= 1e6));
             }
         }
