--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -1,8 +1,8 @@
-//! What a decision and a full list cost at 24, 300 and 1,024 hubs.
+//! Cost of a decision and of a full hub list with 24, 300 and 1,024 hubs.
 //!
 //!     cargo bench --bench scale
 //!
-//! The sizes take turns in one run; the ratios to the smallest count, not the times.
+//! The sizes alternate within one run. Compare the ratios to the smallest size rather than the times.
 
 use petreldock::config::{self, At, Config};
 use petreldock::core::{Core, Hub, HubListUpdate, Input, Status};
@@ -19,14 +19,14 @@
 fn config() -> Config {
     let text = std::fs::read_to_string("examples/config.json").expect("run from the root");
     let value = config::parse(&text, "example").expect("JSON");
-    Config::read(&At::root(&value, ""), None).expect("sound")
+    Config::read(&At::root(&value, ""), None).expect("valid configuration")
 }
 
-/// The mean time from a call to the set-up's action, and back through its answer and end, in nanoseconds.
-fn decisions(hubs: usize) -> f64 {
+/// Returns the mean time, in nanoseconds, to decide on a call and to process its answer and its end.
+fn decision_time(hubs: usize) -> f64 {
     let mut settings = config().settings;
     settings.classes.iter_mut().for_each(|c| c.places = (0..hubs as i64).collect());
-    let mut controller = Controller::new(settings, 7, Micros(START)).expect("sane");
+    let mut controller = Controller::new(settings, 7, Micros(START)).expect("valid settings");
     let entry = |n: usize| Entry {
         server: ServerId(n as u64 + 1),
         place: n as i64,
@@ -70,20 +70,20 @@
     start.elapsed().as_nanos() as f64 / CALLS as f64
 }
 
-/// The time that the core takes over a full list that says nothing new, in nanoseconds.
-fn list(hubs: usize) -> f64 {
-    let (front, _said) = mpsc::channel(1024);
+/// Returns the time, in nanoseconds, that the core needs for a full list without changes.
+fn full_list_time(hubs: usize) -> f64 {
+    let (front, _messages) = mpsc::channel(1024);
     let (status, _watched) = watch::channel(Status::default());
-    // The links' ends are kept: a link without one takes nothing.
-    let ends = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
-    let kept = ends.clone();
+    // The receivers of the link commands are kept alive, because a link without a receiver accepts no command.
+    let receivers = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
+    let opened = receivers.clone();
     let connect = Box::new(move |_, _: &str| {
         let (sender, commands) = mpsc::channel(64);
-        kept.lock().expect("lock").push(commands);
+        opened.lock().expect("lock").push(commands);
         sender
     });
-    let mut core = Core::new(&config(), vec![front], connect, status, Micros(START)).expect("sane");
-    let whole: Vec<Hub> = (0..hubs)
+    let mut core = Core::new(&config(), vec![front], connect, status, Micros(START)).expect("valid settings");
+    let full: Vec<Hub> = (0..hubs)
         .map(|n| Hub {
             uid: format!("s-{n:08x}"),
             endpoint: format!("10.0.{}.{}:5060", n >> 8, n & 255),
@@ -92,34 +92,35 @@
             born: None,
         })
         .collect();
-    let news = || HubListUpdate { full: true, hubs: whole.clone(), effective_since: Micros(START), seq: 0 };
-    core.handle(Micros(START), Input::HubList(news()));
-    let lists: Vec<HubListUpdate> = (0..20).map(|_| news()).collect();
+    let update = || HubListUpdate { full: true, hubs: full.clone(), effective_since: Micros(START), seq: 0 };
+    core.handle(Micros(START), Input::HubList(update()));
+    let updates: Vec<HubListUpdate> = (0..20).map(|_| update()).collect();
     let start = Instant::now();
-    for list in lists {
-        core.handle(Micros(START + 1), Input::HubList(list));
+    for update in updates {
+        core.handle(Micros(START + 1), Input::HubList(update));
     }
     start.elapsed().as_nanos() as f64 / 20.0
 }
 
 fn main() {
-    for (what, cost) in
-        [("a decision", decisions as fn(usize) -> f64), ("a full list", list as fn(usize) -> f64)]
-    {
+    for (name, measure) in [
+        ("a decision", decision_time as fn(usize) -> f64),
+        ("a full list", full_list_time as fn(usize) -> f64),
+    ] {
         let mut times = [const { Vec::new() }; SIZES.len()];
         for _ in 0..ROUNDS {
             for (nth, hubs) in SIZES.into_iter().enumerate() {
-                times[nth].push(cost(hubs));
+                times[nth].push(measure(hubs));
             }
         }
-        let least = times[0].clone();
+        let smallest = times[0].clone();
         for (hubs, times) in SIZES.into_iter().zip(times) {
-            let mut ratios: Vec<f64> = times.iter().zip(&least).map(|(t, l)| t / l).collect();
+            let mut ratios: Vec<f64> = times.iter().zip(&smallest).map(|(t, l)| t / l).collect();
             let mut times = times;
             times.sort_by(f64::total_cmp);
             ratios.sort_by(f64::total_cmp);
             println!(
-                "{what:<12}{hubs:>6} hubs: {:>8.1} us; to {} hubs {:.2} {:.2} {:.2} (least, median, greatest of {ROUNDS})",
+                "{name:<12}{hubs:>6} hubs: {:>8.1} us; ratio to {} hubs {:.2} {:.2} {:.2} (minimum, median, maximum of {ROUNDS})",
                 times[ROUNDS / 2] / 1e3,
                 SIZES[0],
                 ratios[0],
--- a/benches/state.rs
+++ b/benches/state.rs
@@ -1,8 +1,8 @@
-//! What keeping what is learnt costs: how long it holds the core up, and what a write takes.
+//! Cost of saving learned state: how long it blocks the core, and how long a write takes.
 //!
 //!     cargo bench --bench state
 //!
-//! On and off take turns in one run; the ratios count, not the times.
+//! Runs with and without saving alternate within one run. Compare the ratios rather than the times.
 
 use hdrhistogram::Histogram;
 use petreldock::config::{self, At, Config};
@@ -20,22 +20,23 @@
 
 const SECOND: u64 = 1_000_000;
 const START: u64 = 1_700_000_000 * SECOND;
-/// One call a tick of 5 ms: 200 a second.
-const TICK: u64 = 5_000;
+/// Tick length in microseconds. One call is offered per tick, 200 per second.
+const TICK_LENGTH: u64 = 5_000;
 const PAIRS: usize = 15;
-/// Calls that stand at a time.
-const STANDING: usize = 800;
+/// Number of established calls kept up at a time.
+const ESTABLISHED_CALLS: usize = 800;
 
 type Links = Arc<Mutex<Vec<(LinkId, mpsc::Receiver<ToHub>)>>>;
 
 fn config() -> Config {
     let text = std::fs::read_to_string("examples/config.json").expect("run from the root");
     let value = config::parse(&text, "example").expect("JSON");
-    Config::read(&At::root(&value, ""), None).expect("sound")
+    Config::read(&At::root(&value, ""), None).expect("valid configuration")
 }
 
-/// Runs a core for so many ticks; gives how long it was held up by each input or tick, in nanoseconds.
-fn held_up(hubs: usize, ticks: u64, keep: bool) -> (Histogram<u64>, Option<Arc<LearnedState>>) {
+/// Runs a core for a number of ticks. Returns how long each input or tick blocked it, in nanoseconds, and the last
+/// exported state.
+fn block_times(hubs: usize, ticks: u64, save: bool) -> (Histogram<u64>, Option<Arc<LearnedState>>) {
     let links: Links = Arc::default();
     let opened = links.clone();
     let connect = Box::new(move |link, _: &str| {
@@ -43,12 +44,12 @@
         opened.lock().expect("lock").push((link, commands));
         sender
     });
-    let (front, mut said) = mpsc::channel(1024);
+    let (front, mut messages) = mpsc::channel(1024);
     let (status, _watched) = watch::channel(Status::default());
-    let mut core = Core::new(&config(), vec![front], connect, status, Micros(START)).expect("sane");
-    let (pictures, latest) = watch::channel(None);
-    if keep {
-        core.export_state(pictures, Micros(2 * SECOND), Micros(START));
+    let mut core = Core::new(&config(), vec![front], connect, status, Micros(START)).expect("valid settings");
+    let (sender, latest) = watch::channel(None);
+    if save {
+        core.export_state(sender, Micros(2 * SECOND), Micros(START));
     }
     let list = (0..hubs).map(|n| Hub {
         uid: format!("s-{n:08x}"),
@@ -66,10 +67,10 @@
             seq: 0,
         }),
     );
-    let mut times = Histogram::<u64>::new_with_max(10_000_000_000, 3).expect("three digits");
-    let mut standing = std::collections::VecDeque::new();
+    let mut times = Histogram::<u64>::new_with_max(10_000_000_000, 3).expect("valid histogram bounds");
+    let mut established = std::collections::VecDeque::new();
     for tick in 1..=ticks {
-        let now = Micros(START + tick * TICK);
+        let now = Micros(START + tick * TICK_LENGTH);
         let mut timed = |core: &mut Core, input: Option<Input>| {
             let start = Instant::now();
             match input {
@@ -92,55 +93,55 @@
             description: Description::default(),
         };
         timed(&mut core, Some(Input::Offer(offer)));
-        let mut news = Vec::new();
+        let mut events = Vec::new();
         for (link, commands) in links.lock().expect("lock").iter_mut() {
             while let Ok(command) = commands.try_recv() {
                 if let ToHub::SetUp(set_up) = command {
-                    news.push(Input::Hub(*link, FromHub::Answered(set_up.call, Description::default())));
-                    standing.push_back((*link, set_up.call));
+                    events.push(Input::Hub(*link, FromHub::Answered(set_up.call, Description::default())));
+                    established.push_back((*link, set_up.call));
                 }
             }
         }
-        if standing.len() > STANDING {
-            if let Some((link, call)) = standing.pop_front() {
+        if established.len() > ESTABLISHED_CALLS {
+            if let Some((link, call)) = established.pop_front() {
                 let report = Report {
                     free: Some(900.0),
                     size: Some(1000.0),
                     can_take: Some(50.0),
                     ..Report::default()
                 };
-                news.push(Input::Hub(
+                events.push(Input::Hub(
                     link,
                     FromHub::Released(call, Cause::NORMAL, RefusalNote::None, report),
                 ));
             }
         }
-        news.into_iter().for_each(|input| timed(&mut core, Some(input)));
-        while said.try_recv().is_ok() {}
+        events.into_iter().for_each(|input| timed(&mut core, Some(input)));
+        while messages.try_recv().is_ok() {}
     }
-    let picture = latest.borrow().clone();
-    (times, picture)
+    let state = latest.borrow().clone();
+    (times, state)
 }
 
-/// The least, the median and the greatest.
-fn spread(mut figures: Vec<f64>) -> (f64, f64, f64) {
+/// Returns the minimum, the median and the maximum.
+fn min_median_max(mut figures: Vec<f64>) -> (f64, f64, f64) {
     figures.sort_by(f64::total_cmp);
     (figures[0], figures[figures.len() / 2], figures[figures.len() - 1])
 }
 
 fn main() {
-    println!("the core held up by one input or tick, on / off, {PAIRS} pairs: least, median, greatest");
-    let mut pictures = Vec::new();
+    println!("time that one input or tick blocks the core, with / without saving, {PAIRS} pairs: minimum, median, maximum");
+    let mut states = Vec::new();
     for (hubs, ticks) in [(4, 8_000), (4096, 1_500)] {
         let mut ratios: [Vec<f64>; 4] = Default::default();
         let (mut longest, mut mean) = (Vec::new(), Vec::new());
         for pair in 0..PAIRS {
-            // Which of the two goes first changes.
+            // The order within a pair alternates.
             let first = pair % 2 == 0;
-            let one = held_up(hubs, ticks, first);
-            let two = held_up(hubs, ticks, !first);
+            let one = block_times(hubs, ticks, first);
+            let two = block_times(hubs, ticks, !first);
             let (on, off) = if first { (one, two) } else { (two, one) };
-            for (nth, of) in [
+            for (nth, statistic) in [
                 (|h: &Histogram<u64>| h.mean()) as fn(&Histogram<u64>) -> f64,
                 |h| h.value_at_quantile(0.99) as f64,
                 |h| h.value_at_quantile(0.999) as f64,
@@ -149,35 +150,39 @@
             .into_iter()
             .enumerate()
             {
-                ratios[nth].push(of(&on.0) / of(&off.0));
+                ratios[nth].push(statistic(&on.0) / statistic(&off.0));
             }
             longest.push(on.0.max() as f64 / 1e3);
             mean.push(on.0.mean() / 1e3);
-            pictures.extend(on.1.filter(|_| pair == 0));
+            states.extend(on.1.filter(|_| pair == 0));
         }
-        for (what, ratios) in ["mean", "p99", "p99.9", "longest"].into_iter().zip(ratios) {
-            let (least, median, greatest) = spread(ratios);
-            println!("  {hubs:>5} hubs  {what:<8} {least:.3} {median:.3} {greatest:.3}");
+        for (name, ratios) in ["mean", "p99", "p99.9", "longest"].into_iter().zip(ratios) {
+            let (min, median, max) = min_median_max(ratios);
+            println!("  {hubs:>5} hubs  {name:<8} {min:.3} {median:.3} {max:.3}");
         }
-        println!("  {hubs:>5} hubs  on: mean {:.2} us, longest {:.0} us", spread(mean).1, spread(longest).1);
+        println!(
+            "  {hubs:>5} hubs  on: mean {:.2} us, longest {:.0} us",
+            min_median_max(mean).1,
+            min_median_max(longest).1
+        );
     }
-    println!("a write, encoding and syncs with it: least, median, greatest of {PAIRS}, in ms");
+    println!("one write, including encoding and syncs: minimum, median, maximum of {PAIRS}, in ms");
     let path = std::env::temp_dir().join(format!("petreldock-bench-{}", std::process::id()));
-    let mut folder = Folder::open(&path).expect("made");
-    for picture in pictures {
+    let mut folder = Folder::open(&path).expect("folder opened");
+    for learned in states {
         let mut snapshots = state::snapshots();
         let (mut encodes, mut saves, mut bytes) = (Vec::new(), Vec::new(), 0);
         for _ in 0..PAIRS {
             let start = Instant::now();
-            let payload = learning::encode(&picture);
+            let payload = learning::encode(&learned);
             encodes.push(start.elapsed().as_secs_f64() * 1e3);
             snapshots.save(&mut folder, learning::VERSION, &payload).expect("saved");
             saves.push(start.elapsed().as_secs_f64() * 1e3);
             bytes = payload.len();
         }
-        let ((a, b, c), (d, e, f)) = (spread(encodes), spread(saves));
-        let hubs = picture.hubs.len();
-        println!("  {hubs:>5} hubs  {bytes} bytes  encode {a:.2} {b:.2} {c:.2}  in all {d:.2} {e:.2} {f:.2}");
+        let ((a, b, c), (d, e, f)) = (min_median_max(encodes), min_median_max(saves));
+        let hubs = learned.hubs.len();
+        println!("  {hubs:>5} hubs  {bytes} bytes  encode {a:.2} {b:.2} {c:.2}  total {d:.2} {e:.2} {f:.2}");
     }
     std::fs::remove_dir_all(&path).expect("removed");
 }
