--- a/benches/log.rs
+++ b/benches/log.rs
@@ -22,7 +22,8 @@
             let mut times =
                 Histogram::<u64>::new_with_max(10_000_000_000, 3).expect("valid histogram bounds");
             let start = Instant::now();
-            // 1,000 commits are enough to measure the cost of small batches, in which every commit waits for the disk.
+            // 1,000 commits are enough to measure the cost of small batches, in which every commit waits for
+            // the disk.
             let commits = (RECORD_COUNT / batch).min(1000);
             for _ in 0..commits {
                 let began = Instant::now();
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -74,7 +74,8 @@
 fn full_list_time(hubs: usize) -> f64 {
     let (front, _messages) = mpsc::channel(1024);
     let (status, _watched) = watch::channel(Status::default());
-    // The receivers of the link commands are kept alive, because a link without a receiver accepts no command.
+    // The receivers of the link commands are kept alive, because a link without a receiver accepts no
+    // command.
     let receivers = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let opened = receivers.clone();
     let connect = Box::new(move |_, _: &str| {
--- a/benches/state.rs
+++ b/benches/state.rs
@@ -34,8 +34,8 @@
     Config::read(&At::root(&value, ""), None).expect("valid configuration")
 }
 
-/// Runs a core for a number of ticks. Returns how long each input or tick blocked it, in nanoseconds, and the last
-/// exported state.
+/// Runs a core for a number of ticks. Returns how long each input or tick blocked it, in nanoseconds, and the
+/// last exported state.
 fn block_times(hubs: usize, ticks: u64, save: bool) -> (Histogram<u64>, Option<Arc<LearnedState>>) {
     let links: Links = Arc::default();
     let opened = links.clone();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -40,13 +40,15 @@
 const MAX_HUBS: usize = 4096;
 /// Number of removed hubs that are remembered, so that a hub that returns keeps its id.
 const MAX_GONE_HUBS: usize = 1024;
-/// Upper bound on how long a caller waits for an answer, unless a class of the settings has a longer deadline.
-/// The bound is needed because the timers of a set-up are kept until its deadline, even after it has ended.
+/// Upper bound on how long a caller waits for an answer, unless a class of the settings has a longer
+/// deadline. The bound is needed because the timers of a set-up are kept until its deadline, even after it
+/// has ended.
 const MAX_CALLER_WAIT: Micros = Micros(60_000_000);
 /// Number of hubs whose learned state is collected at one tick, so that no call waits for all hubs.
 const HUBS_COLLECTED_PER_TICK: usize = 128;
 
-/// Unix time. The system clock is read once; after that the monotonic clock, which tests can pause, advances it.
+/// Unix time. The system clock is read once; after that the monotonic clock, which tests can pause, advances
+/// it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     base: Micros,
@@ -56,8 +58,8 @@
 impl Clock {
     /// Creates a clock from the current system time.
     pub fn system() -> Clock {
-        let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        Clock { base: Micros(since.as_micros() as u64), start: Instant::now() }
+        let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        Clock { base: Micros(elapsed.as_micros() as u64), start: Instant::now() }
     }
 
     /// Returns the current time.
@@ -74,6 +76,7 @@
 /// Starts the link to the hub at an endpoint and returns the sender of its commands.
 pub type ConnectHub = Box<dyn FnMut(LinkId, &str) -> mpsc::Sender<ToHub> + Send>;
 
+/// State of a hub that is or was named by a list or by the operator's file.
 struct HubState {
     id: ServerId,
     uid: Arc<str>,
@@ -106,6 +109,7 @@
     }
 }
 
+/// The open attempt of a call at a hub.
 #[derive(Debug)]
 struct Attempt {
     link: LinkId,
@@ -120,6 +124,7 @@
     give_up_reason: Option<Outcome>,
 }
 
+/// A call that is being set up, is established or is being given up.
 struct Call {
     id: CallId,
     name: CallName,
@@ -231,10 +236,10 @@
     closing_links: BTreeSet<LinkId>,
     /// Calls that have an attempt at a link.
     calls_by_link: BTreeSet<(LinkId, CallId)>,
-    last_call: u64,
-    last_attempt: u64,
-    last_link: u64,
-    last_hub: u64,
+    last_call_id: u64,
+    last_attempt_number: u64,
+    last_link_id: u64,
+    last_hub_id: u64,
     /// Number of hub list updates applied so far.
     update_count: u64,
     full_list_received: bool,
@@ -283,10 +288,10 @@
             hub_by_endpoint: HashMap::new(),
             closing_links: BTreeSet::new(),
             calls_by_link: BTreeSet::new(),
-            last_call: 0,
-            last_attempt: 0,
-            last_link: 0,
-            last_hub: 0,
+            last_call_id: 0,
+            last_attempt_number: 0,
+            last_link_id: 0,
+            last_hub_id: 0,
             update_count: 0,
             full_list_received: false,
             change_log_current: config.change_log.is_none(),
@@ -352,12 +357,12 @@
             Input::Media(front, name, frame) => {
                 let call = self.call_by_name.get(&name).and_then(|id| self.calls.get(id));
                 let call = call.filter(|c| c.established && c.front == front);
-                if let Some(out) = call.and_then(|c| c.attempt.as_ref()) {
-                    let (link, message) = (out.link, ToHub::Media(name, frame));
+                if let Some(attempt) = call.and_then(|c| c.attempt.as_ref()) {
+                    let (link, message) = (attempt.link, ToHub::Media(name, frame));
                     self.to_hub(link, message);
                 }
             }
-            Input::Hub(link, from) => self.handle_hub_event(now, link, from),
+            Input::Hub(link, event) => self.handle_hub_event(now, link, event),
             Input::HubList(update) => self.apply_hub_list(now, update),
             Input::ChangeLogCurrent => self.change_log_current = true,
             Input::ExportState => self.collect_state(now, usize::MAX),
@@ -409,8 +414,9 @@
             match event {
                 TimerEvent::Module(token) => self.dispatch(now, Event::Timer(token)),
                 TimerEvent::Attempt(id, number) => {
-                    let out = self.calls.get(&id).filter(|c| !c.established).and_then(|c| c.attempt.as_ref());
-                    if out.is_some_and(|o| o.number == number && o.give_up_reason.is_none()) {
+                    let attempt =
+                        self.calls.get(&id).filter(|c| !c.established).and_then(|c| c.attempt.as_ref());
+                    if attempt.is_some_and(|o| o.number == number && o.give_up_reason.is_none()) {
                         self.give_up(id, Outcome::TimedOut);
                     }
                 }
@@ -421,8 +427,8 @@
                         self.give_final_answer(now, Action::Fail(id));
                     }
                 }
-                // Calls still open when the process must end are refused; otherwise their callers would get no
-                // answer.
+                // Calls still open when the process must end are refused; otherwise their callers would get
+                // no answer.
                 TimerEvent::Shutdown => {
                     self.refuse_new_calls = true;
                     let open = self.calls.values().filter(|c| !c.answered).map(|c| c.id);
@@ -452,13 +458,13 @@
         }
     }
 
-    /// Whether the change log was read and every hub has reported its state since the start. The list in the
-    /// configuration is not enough: it may be older than a drain that is already in effect.
+    /// Whether the change log was read and every hub of the list has reported its state since the start. The
+    /// list in the configuration is not enough: it may be older than a drain that is already in effect.
     fn has_initial_state(&self) -> bool {
-        let asked = |h: &&HubState| h.phase == Phase::Up && !h.configured;
+        let expected = |h: &&HubState| h.phase == Phase::Up && !h.configured;
         self.full_list_received
             && self.change_log_current
-            && self.hubs.iter().filter(asked).all(|h| h.reported)
+            && self.hubs.iter().filter(expected).all(|h| h.reported)
     }
 
     // ---- callers ----
@@ -492,9 +498,9 @@
         if self.calls.len() >= self.limits.max_open || held > self.limits.description_bytes {
             return self.to_front(offer.front, ToFront::Refuse(offer.origin, offer.call, Micros(0)));
         }
-        self.last_call += 1;
-        let id = CallId(self.last_call);
-        let asked = NewCall {
+        self.last_call_id += 1;
+        let id = CallId(self.last_call_id);
+        let new_call = NewCall {
             id,
             class,
             place: offer.place,
@@ -527,7 +533,7 @@
             not_before: Micros(0),
         };
         self.calls.insert(id, call);
-        self.dispatch(now, Event::Call(asked));
+        self.dispatch(now, Event::Call(new_call));
     }
 
     fn handle_withdrawal(&mut self, now: Micros, front: FrontId, name: CallName) {
@@ -551,22 +557,22 @@
             }
             return;
         };
-        let standing = self.calls.get(&id).filter(|c| c.front == front && c.established);
-        if let Some(link) = standing.and_then(|c| c.attempt.as_ref()).map(|o| o.link) {
+        let established = self.calls.get(&id).filter(|c| c.front == front && c.established);
+        if let Some(link) = established.and_then(|c| c.attempt.as_ref()).map(|o| o.link) {
             self.to_hub(link, ToHub::Release(name, cause));
             self.end_attempt(now, id, Outcome::Withdrawn, false, Report::default());
         }
-        // Any connection may release an established call, but only the connection that a set-up came in on may
-        // end the set-up.
+        // Any connection may release an established call, but only the connection that a set-up came in on
+        // may end the set-up.
     }
 
     // ---- hubs ----
 
-    fn handle_hub_event(&mut self, now: Micros, link: LinkId, from: FromHub) {
+    fn handle_hub_event(&mut self, now: Micros, link: LinkId, event: FromHub) {
         let index = self.hub_by_link.get(&link).copied();
         // From a link that is closing, only the ends of its set-ups are accepted.
         let ends_set_up = matches!(
-            from,
+            event,
             FromHub::GivenUp { .. }
                 | FromHub::ConnectionLost(..)
                 | FromHub::Unreachable(..)
@@ -576,7 +582,7 @@
         if index.is_none() && !(ends_set_up && self.closing_links.contains(&link)) {
             return;
         }
-        match from {
+        match event {
             FromHub::Answered(name, description) => self.handle_answer(now, link, name, description),
             FromHub::Released(name, cause, note, report) => {
                 let Some((id, call)) = self.call_at_link(link, name) else {
@@ -617,12 +623,13 @@
                 self.handle_set_up_end(now, name, attempt, AttemptEnd::Unreachable)
             }
             FromHub::NotSent(name, attempt) => {
-                let late = self.open_attempt(name, attempt).is_none_or(|(_, out)| now >= out.times_out_at);
+                let expired =
+                    self.open_attempt(name, attempt).is_none_or(|(_, open)| now >= open.times_out_at);
                 self.handle_set_up_end(
                     now,
                     name,
                     attempt,
-                    if late { AttemptEnd::NotSentExpired } else { AttemptEnd::NotSentDraining },
+                    if expired { AttemptEnd::NotSentExpired } else { AttemptEnd::NotSentDraining },
                 );
             }
             FromHub::LoadReport(report) => {
@@ -633,7 +640,8 @@
             }
             FromHub::Closed => {
                 self.closing_links.remove(&link);
-                // Ends attempts that the link has failed to report: with its connections closed, none is open.
+                // Ends attempts that the link has failed to report: with its connections closed, none is
+                // open.
                 self.end_attempts_at_link(now, link, |_| true);
             }
             FromHub::Dead => self.cut_established_calls(now, link, index, "dead"),
@@ -648,8 +656,8 @@
 
     /// Handles a hub's release that arrived before its answer. The call was, or may have been, established at
     /// the hub and is over. The caller must be told of the end within 1 s, and there is no answer to pass on
-    /// first, so the call fails. A further attempt would hide the end of this call from the caller and answer it
-    /// with a different one. An answer that arrives later belongs to no call.
+    /// first, so the call fails. A further attempt would hide the end of this call from the caller and answer
+    /// it with a different one. An answer that arrives later belongs to no call.
     fn handle_release_before_answer(
         &mut self,
         now: Micros,
@@ -664,8 +672,8 @@
         self.end_attempt(now, id, outcome, false, report);
     }
 
-    /// Fails the call if its final answer is owed. The open attempt is not given up, because the hub has already
-    /// ended it.
+    /// Fails the call if its final answer is owed. The open attempt is not given up, because the hub has
+    /// already ended it.
     fn fail_without_give_up(&mut self, now: Micros, id: CallId) {
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
         call.answered = true;
@@ -686,10 +694,10 @@
     fn handle_answer(&mut self, now: Micros, link: LinkId, name: CallName, description: Description) {
         let id = self.call_by_name.get(&name).copied();
         let call = id.and_then(|id| self.calls.get_mut(&id));
-        let out = call.and_then(|c| {
+        let attempt = call.and_then(|c| {
             c.attempt.as_ref().filter(|o| o.link == link).map(|o| (o.give_up_reason, c.established))
         });
-        match (id, out) {
+        match (id, attempt) {
             (Some(_), Some((_, true))) => {}
             (Some(id), Some((None, false))) if self.calls.get(&id).is_some_and(|c| !c.answered) => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
@@ -698,17 +706,17 @@
                 call.established = true;
                 self.description_bytes -= call.description.bytes.len();
                 call.description = Description::default();
-                let Some(out) = &call.attempt else { return };
-                let (front, origin, server, index) = (call.front, call.origin, out.server, out.index);
-                let answer_time = now - out.sent_at;
+                let Some(attempt) = &call.attempt else { return };
+                let (front, origin, server, index) = (call.front, call.origin, attempt.server, attempt.index);
+                let answer_time = now - attempt.sent_at;
                 metrics::CALLS_ANSWERED.increment();
-                tracing::debug!(call = %name, attempt = out.number, link = link.0, "call answered");
+                tracing::debug!(call = %name, attempt = attempt.number, link = link.0, "call answered");
                 self.to_front(front, ToFront::Answer(origin, name, description));
                 self.dispatch(now, Event::Stands(id, server, index, answer_time));
             }
-            // The answer crossed the give-up, or the call has ended. The hub holds a call without a caller, so
-            // the call is released there and the answer is not passed on. A give-up that is still to be written
-            // releases the call as well.
+            // The answer crossed the give-up, or the call has ended. The hub holds a call without a caller,
+            // so the call is released there and the answer is not passed on. A give-up that is still to be
+            // written releases the call as well.
             _ if id.is_some() || self.ended_calls.contains_key(&name) => {
                 self.to_hub(link, ToHub::Release(name, Cause::NORMAL));
             }
@@ -718,9 +726,9 @@
     }
 
     /// Handles the end of an attempt whose call was not established, as reported by its link.
-    fn handle_set_up_end(&mut self, now: Micros, name: CallName, attempt: u64, seen: AttemptEnd) {
-        let Some((id, out)) = self.open_attempt(name, attempt) else { return };
-        let outcome = outcome::outcome_of(seen, false, out.give_up_reason);
+    fn handle_set_up_end(&mut self, now: Micros, name: CallName, number: u64, end: AttemptEnd) {
+        let Some((id, attempt)) = self.open_attempt(name, number) else { return };
+        let outcome = outcome::outcome_of(end, false, attempt.give_up_reason);
         // Only the hub ends an established call.
         if self.calls.get(&id).is_some_and(|c| !c.established) {
             self.end_attempt(now, id, outcome, false, Report::default());
@@ -736,13 +744,13 @@
         }
     }
 
-    /// Ends the selected attempts at a link whose hub process is dead or gone. Returns how many of their calls
-    /// were established.
+    /// Ends the selected attempts at a link whose hub process is dead or gone. Returns how many of their
+    /// calls were established.
     fn end_attempts_at_link(&mut self, now: Micros, link: LinkId, which: impl Fn(&Call) -> bool) -> u64 {
         let mut cut = 0;
-        let at = self.calls_by_link.range((link, CallId(0))..=(link, CallId(u64::MAX)));
-        let at: Vec<CallId> = at.map(|(_, id)| *id).collect();
-        for id in at {
+        let ids = self.calls_by_link.range((link, CallId(0))..=(link, CallId(u64::MAX)));
+        let ids: Vec<CallId> = ids.map(|(_, id)| *id).collect();
+        for id in ids {
             let Some(call) = self.calls.get(&id).filter(|c| which(c)) else { continue };
             if call.established {
                 let message = ToFront::Release(Some(call.origin), call.name, Cause::TEMPORARY_FAILURE);
@@ -768,24 +776,24 @@
 
     fn open_attempt(&self, name: CallName, number: u64) -> Option<(CallId, &Attempt)> {
         let id = *self.call_by_name.get(&name)?;
-        let out = self.calls.get(&id)?.attempt.as_ref()?;
-        Some((id, out)).filter(|(_, o)| o.number == number)
+        let attempt = self.calls.get(&id)?.attempt.as_ref()?;
+        Some((id, attempt)).filter(|(_, o)| o.number == number)
     }
 
     fn end_attempt(&mut self, now: Micros, id: CallId, outcome: Outcome, number_busy: bool, report: Report) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(out) = call.attempt.take() else { return };
-        self.calls_by_link.remove(&(out.link, id));
+        let Some(attempt) = call.attempt.take() else { return };
+        self.calls_by_link.remove(&(attempt.link, id));
         call.established = false;
         call.may_have_run |= !outcome.proves_unrun();
-        tracing::debug!(call = %call.name, attempt = out.number, link = out.link.0, ?outcome, "attempt ended");
+        tracing::debug!(call = %call.name, attempt = attempt.number, link = attempt.link.0, ?outcome, "attempt ended");
         if outcome.awaits_release() {
             call.not_before = now + self.limits.release;
         }
         let end = End {
             id,
-            attempt: out.index,
-            server: out.server,
+            attempt: attempt.index,
+            server: attempt.server,
             outcome,
             over: call.answered,
             number_busy,
@@ -795,13 +803,13 @@
         self.remove_call_if_over(now, id);
     }
 
-    fn give_up(&mut self, id: CallId, ending: Outcome) {
+    fn give_up(&mut self, id: CallId, reason: Outcome) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let name = call.name;
-        let Some(out) = call.attempt.as_mut().filter(|o| o.give_up_reason.is_none()) else { return };
-        out.give_up_reason = Some(ending);
-        tracing::debug!(call = %name, attempt = out.number, ?ending, "giving up attempt");
-        let (link, number) = (out.link, out.number);
+        let Some(attempt) = call.attempt.as_mut().filter(|o| o.give_up_reason.is_none()) else { return };
+        attempt.give_up_reason = Some(reason);
+        tracing::debug!(call = %name, attempt = attempt.number, ending = ?reason, "giving up attempt");
+        let (link, number) = (attempt.link, attempt.number);
         self.to_hub(link, ToHub::GiveUp(name, number));
     }
 
@@ -834,8 +842,8 @@
     // ---- hub list ----
 
     /// Returns the index of a hub's state and adds the hub if it is new. Hubs are replaced for as long as the
-    /// process runs, so the number of removed hubs must be bounded: at the limit a new hub takes over the slot of
-    /// the hub that was removed first, with an id of its own.
+    /// process runs, so the number of removed hubs must be bounded: at the limit a new hub takes over the
+    /// slot of the hub that was removed first, with an id of its own.
     fn find_or_add_hub(&mut self, hub: &Hub) -> Option<usize> {
         if let Some(index) = self.hub_by_uid.get(&*hub.uid) {
             return Some(*index);
@@ -845,9 +853,9 @@
         if oldest.is_none() && self.hubs.len() >= MAX_HUBS {
             return None;
         }
-        self.last_hub += 1;
+        self.last_hub_id += 1;
         let state = HubState {
-            id: ServerId(self.last_hub),
+            id: ServerId(self.last_hub_id),
             uid: hub.uid.as_str().into(),
             endpoint: hub.endpoint.as_str().into(),
             place: hub.place,
@@ -942,9 +950,9 @@
         self.dispatch(now, Event::List(kind, entries));
     }
 
-    /// Removes another hub that had the address of a hub that comes into service. The list may name the end of
-    /// the old hub only later; until then the old link would dial the new process and attribute its messages to
-    /// the old hub.
+    /// Removes another hub that had the address of a hub that comes into service. The list may name the end
+    /// of the old hub only later; until then the old link would dial the new process and attribute its
+    /// messages to the old hub.
     fn replace_predecessor(&mut self, now: Micros, index: usize, named: &mut Vec<usize>) {
         let old = self.hub_by_endpoint.get(&self.hubs[index].endpoint).copied();
         if let Some(old) = old.filter(|i| *i != index && !self.hubs[*i].configured) {
@@ -955,16 +963,16 @@
         }
     }
 
-    /// Opens, closes or restricts a hub's link according to its phase. If the phase is new, it takes effect at
-    /// `effective_since`.
+    /// Opens, closes or restricts a hub's link according to its phase. If the phase is new, it takes effect
+    /// at `effective_since`.
     fn apply_phase(&mut self, now: Micros, index: usize, effective_since: Micros) {
         if self.hubs[index].phase == Phase::Gone {
             self.close_link(now, index);
         }
         let state = &mut self.hubs[index];
         if state.phase == Phase::Up && state.link.is_none() {
-            self.last_link += 1;
-            let link = LinkId(self.last_link);
+            self.last_link_id += 1;
+            let link = LinkId(self.last_link_id);
             state.link = Some((link, (self.connect)(link, &state.endpoint)));
             self.hub_by_link.insert(link, index);
             self.hub_by_endpoint.insert(state.endpoint.clone(), index);
@@ -1005,8 +1013,8 @@
 
     // ---- decision module ----
 
-    /// Passes an event to the decision module and carries out its actions. Events that result from the actions
-    /// are passed to it afterwards, in order.
+    /// Passes an event to the decision module and carries out its actions. Events that result from the
+    /// actions are passed to it afterwards, in order.
     fn dispatch(&mut self, now: Micros, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
@@ -1034,23 +1042,23 @@
                     }
                     Action::Refuse(..) | Action::Fail(_) => self.give_final_answer(now, action),
                     Action::Cancel(id, index) => {
-                        let out =
+                        let attempt =
                             self.calls.get(&id).filter(|c| !c.established).and_then(|c| c.attempt.as_ref());
-                        if out.is_some_and(|o| o.index == index) {
+                        if attempt.is_some_and(|o| o.index == index) {
                             self.give_up(id, Outcome::Withdrawn);
                         }
                     }
                     Action::Timer(at, token) => self.timers.add(at, TimerEvent::Module(token)),
-                    // Session controllers cannot send each other these messages, and list changes arrive without a
-                    // subscription.
+                    // Session controllers cannot send each other these messages, and list changes arrive
+                    // without a subscription.
                     Action::Tell(..) | Action::Watch => {}
                 }
             }
         }
     }
 
-    /// Starts an attempt unless a rule forbids it. The decision module follows the rules itself; the checks here
-    /// protect against its bugs and against changes that happened while it decided.
+    /// Starts an attempt unless a rule forbids it. The decision module follows the rules itself; the checks
+    /// here protect against its bugs and against changes that happened while it decided.
     fn start_attempt(&mut self, now: Micros, id: CallId, server: ServerId, timeout: Micros) -> bool {
         let hub = self.hub_by_id.get(&server).and_then(|i| self.hubs.get(*i));
         let Some((hub, (link, sender))) = hub.and_then(|h| h.link.as_ref().map(|l| (h, l))) else {
@@ -1070,8 +1078,8 @@
             tracing::debug!(call = %call.name, hub = %hub.uid, drained, sent = call.attempts_sent, "attempt not sent: a rule forbids it");
             return false;
         }
-        self.last_attempt += 1;
-        let number = self.last_attempt;
+        self.last_attempt_number += 1;
+        let number = self.last_attempt_number;
         let set_up = SetUp {
             call: call.name,
             attempt: number,
@@ -1143,8 +1151,8 @@
     }
 }
 
-/// Maps the number called to the key that the decision module uses: the value of its hexadecimal digits, or an
-/// FNV-1a hash of any other text.
+/// Maps the number called to the key that the decision module uses: the value of its hexadecimal digits, or
+/// an FNV-1a hash of any other text.
 fn number_key(text: &str) -> Option<u64> {
     let hash = |t: &str| {
         t.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
@@ -1155,8 +1163,8 @@
 /// Removes the set-ups that are withdrawn later in the same batch, and moves the withdrawals to the front. A
 /// withdrawal that precedes a new set-up of the same name stays ahead of it.
 ///
-/// Under CPU load a set-up may wait in the queue while its caller leaves. Handled one by one, it would be sent
-/// to a hub although no caller waits for it.
+/// Under CPU load a set-up may wait in the queue while its caller leaves. Handled one by one, it would be
+/// sent to a hub although no caller waits for it.
 fn drop_withdrawn_offers(batch: &mut Vec<Input>) {
     let key = |front: FrontId, origin: Origin, call: CallName| (front.0, origin.0, call);
     let mut withdrawn = HashSet::new();
@@ -1189,9 +1197,9 @@
 
 /// Runs the core until every sender of its queue is dropped.
 ///
-/// Under CPU load a due timer may be seen before the sockets are polled, and an input that arrived long before
-/// would be handled after the effects of the timer. So the sockets are read before a tick, and all waiting inputs
-/// are taken as one batch, withdrawals first.
+/// Under CPU load a due timer may be seen before the sockets are polled, and an input that arrived long
+/// before would be handled after the effects of the timer. So the sockets are read before a tick, and all
+/// waiting inputs are taken as one batch, withdrawals first.
 pub async fn run(mut core: Core, mut inputs: mpsc::Receiver<Input>, clock: Clock) {
     let mut ticks = tokio::time::interval(Duration::from_micros(TICK_LENGTH.0));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/src/core/outcome.rs
+++ b/src/core/outcome.rs
@@ -1,7 +1,7 @@
 //! Maps each way in which an attempt can end to its outcome.
 //!
-//! Links report what they observed ([`AttemptEnd`]). What that means for the call, and whether the set-up may have
-//! run, is decided only here:
+//! Links report what they observed ([`AttemptEnd`]). What that means for the call, and whether the set-up may
+//! have run, is decided only here:
 //!
 //! | observed | before the call is established | once it is established | may have run | pause |
 //! | --- | --- | --- | --- | --- |
@@ -19,8 +19,8 @@
 //! | not sent: it expired | void | – | no | no |
 //! | hub dead or replaced | broken, once its connection is closed | cut | yes | yes |
 //!
-//! A set-up may have run unless the end proves that it did not. As soon as one byte of it was written, there is no
-//! such proof.
+//! A set-up may have run unless the end proves that it did not. As soon as one byte of it was written, there
+//! is no such proof.
 
 use super::types::{Cause, RefusalNote};
 use crate::interface::Outcome;
@@ -46,8 +46,8 @@
     NotSentExpired,
 }
 
-/// Returns the outcome of an attempt. `established` tells whether its call was established, and `give_up_reason` why
-/// the attempt was being given up, if it was.
+/// Returns the outcome of an attempt. `established` tells whether its call was established, and
+/// `give_up_reason` why the attempt was being given up, if it was.
 pub fn outcome_of(end: AttemptEnd, established: bool, give_up_reason: Option<Outcome>) -> Outcome {
     match end {
         AttemptEnd::Released(Cause::NORMAL | Cause(31), _) if established => Outcome::Success,
--- a/src/core/timer_wheel.rs
+++ b/src/core/timer_wheel.rs
@@ -37,8 +37,8 @@
     pub fn advance(&mut self, now: Micros) -> Vec<T> {
         let last = now.0 / TICK_LENGTH.0;
         let mut due = Vec::new();
-        // If more than one turn has passed since the last call, each slot is visited once rather than once per
-        // tick.
+        // If more than one turn has passed since the last call, each slot is visited once rather than once
+        // per tick.
         let first = self.next.max((last + 1).saturating_sub(SLOT_COUNT as u64));
         for tick in first..=last {
             let slot = &mut self.slots[(tick % SLOT_COUNT as u64) as usize];
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -1,5 +1,5 @@
-//! Messages between the core and the socket code. They are independent of the wire protocols: names are opaque,
-//! and causes are those of Q.850, which all protocols share.
+//! Messages between the core and the socket code. They are independent of the wire protocols: names are
+//! opaque, and causes are those of Q.850, which all protocols share.
 
 use crate::interface::{Micros, Report};
 use bytes::Bytes;
@@ -62,7 +62,8 @@
     NumberBusy,
 }
 
-/// A session description. It is opaque to the core, and only protocols that use the same format understand it.
+/// A session description. It is opaque to the core, and only protocols that use the same format understand
+/// it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Description {
     /// Name of the format.
@@ -126,7 +127,8 @@
     SetUpCutoff(Option<Micros>),
     /// A media frame of an established call.
     Media(CallName, Description),
-    /// The hub is gone: end everything. The link reports the end of each open set-up, then [`FromHub::Closed`].
+    /// The hub is gone: end everything. The link reports the end of each open set-up, then
+    /// [`FromHub::Closed`].
     Close,
 }
 
--- a/src/learning/encoding.rs
+++ b/src/learning/encoding.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Version 2: each hub has its own age, and the rate that the hub last reported it can take is stored separately
-/// from the rate that it is estimated to carry.
+/// Version 2: each hub has its own age, and the rate that the hub last reported it can take is stored
+/// separately from the rate that it is estimated to carry.
 mod v2 {
     use super::*;
 
@@ -73,8 +73,8 @@
         pub cold_until: u64,
     }
 
-    /// Migration from version 1: all hubs are as old as the file, and the rate that a cold hub may be sent was not
-    /// stored.
+    /// Migration from version 1: all hubs are as old as the file, and the rate that a cold hub may be sent
+    /// was not stored.
     impl From<v1::Document> for Document {
         fn from(old: v1::Document) -> Document {
             let hub = |h: v1::Hub| Hub {
@@ -161,8 +161,8 @@
 /// Decodes a learned state of any version up to the latest.
 ///
 /// # Errors
-/// Returns a description of the fault if the version is later than the latest one, or the payload is not valid JSON
-/// of its version.
+/// Returns a description of the fault if the version is later than the latest one, or the payload is not
+/// valid JSON of its version.
 pub fn decode(version: u16, payload: &[u8]) -> Result<LearnedState, String> {
     let text = std::str::from_utf8(payload).map_err(|_| "its payload is not valid UTF-8".to_string())?;
     let invalid = |_| format!("its payload is not valid JSON of version {version}");
--- a/src/learning/mod.rs
+++ b/src/learning/mod.rs
@@ -1,9 +1,9 @@
 //! State that the decision module has learned about hubs, saved across restarts.
 //!
 //! This module does no I/O and reads no clock. A [`LearnedState`] is what is saved; [`encode`] and [`decode`]
-//! convert it to and from bytes, and old versions are read through a chain of migrations. A [`RestoredState`] is a
-//! learned state that was read back: it returns the belief about each hub once, only for the same hub process, and
-//! decayed according to its age.
+//! convert it to and from bytes, and old versions are read through a chain of migrations. A [`RestoredState`]
+//! is a learned state that was read back: it returns the belief about each hub once, only for the same hub
+//! process, and decayed according to its age.
 
 mod encoding;
 
@@ -17,8 +17,8 @@
 pub const MAX_HUBS: usize = 4096;
 /// Maximum length of a hub's name or address, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// Saved times up to this far ahead of the clock are accepted as current, because clocks are corrected in small
-/// steps.
+/// Saved times up to this far ahead of the clock are accepted as current, because clocks are corrected in
+/// small steps.
 const MAX_CLOCK_LEAD: Micros = Micros(500_000);
 /// Maximum plausible rate of set-ups of a hub, per second. Beliefs with higher rates are dropped.
 const MAX_SET_UPS_PER_SECOND: f64 = 1e6;
@@ -27,8 +27,8 @@
 /// Minimum weight of a value that cannot decay gradually towards a default; below it the value is dropped.
 const MIN_REMAINING_WEIGHT: f64 = 0.25;
 
-/// Identity of a hub process. The address alone does not identify a hub: a process with another name or start time
-/// at the same address is another hub.
+/// Identity of a hub process. The address alone does not identify a hub: a process with another name or start
+/// time at the same address is another hub.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     /// The hub's unique name.
@@ -92,7 +92,8 @@
     }
 }
 
-/// Returns the age of a value saved at `kept`, or `None` if that time lies in the future, so the age is unknown.
+/// Returns the age of a value saved at `kept`, or `None` if that time lies in the future, so the age is
+/// unknown.
 fn age(kept: Micros, now: Micros) -> Option<Micros> {
     (kept <= now + MAX_CLOCK_LEAD).then(|| now - kept)
 }
@@ -167,8 +168,8 @@
 }
 
 impl RestoredState {
-    /// Restores a learned state at the start. Hubs whose values are implausible, too old or from the future are
-    /// dropped.
+    /// Restores a learned state at the start. Hubs whose values are implausible, too old or from the future
+    /// are dropped.
     pub fn new(learned: LearnedState, decay: DecaySettings, now: Micros) -> (RestoredState, RestoreSummary) {
         let all = learned.hubs.len();
         let mut summary = RestoreSummary::default();
@@ -202,13 +203,13 @@
         Some(hold).filter(|h| is_fresh && *h > 0.0 && *h <= MAX_SPAN.secs())
     }
 
-    /// Returns the belief about a hub that a list names for the first time since the start. It is returned only
-    /// once, and only for the same hub process: one with another start time is cold, and one with another address
-    /// or place is another machine, so the saved capacity would overload it.
+    /// Returns the belief about a hub that a list names for the first time since the start. It is returned
+    /// only once, and only for the same hub process: one with another start time is cold, and one with
+    /// another address or place is another machine, so the saved capacity would overload it.
     pub fn recall(&mut self, hub: &Identity, now: Micros) -> Option<Belief> {
         let kept = self.hubs.remove(&hub.uid).filter(|kept| kept.hub == *hub)?;
-        // The age counts from when the hub was last heard of. Counted from the time of the save, a belief that
-        // was restored and saved again without news of the hub would appear fresh.
+        // The age counts from when the hub was last heard of. Counted from the time of the save, a belief
+        // that was restored and saved again without news of the hub would appear fresh.
         let age = age(kept.belief.heard, now).filter(|age| *age <= self.decay.max_age)?;
         Some(decayed(&kept.belief, age, now, &self.decay))
     }
@@ -218,8 +219,9 @@
         self.hubs.is_empty() && self.hold <= 0.0
     }
 
-    /// Returns the hubs that no list has named yet and whose state is not too old. They are saved again, because
-    /// the list may come late and a run that ends before it must not lose the state of the run before.
+    /// Returns the hubs that no list has named yet and whose state is not too old. They are saved again,
+    /// because the list may come late and a run that ends before it must not lose the state of the run
+    /// before.
     pub fn unlisted(&self, now: Micros) -> impl Iterator<Item = &LearnedHub> {
         let is_recent =
             move |k: &&LearnedHub| age(k.belief.heard, now).is_some_and(|a| a <= self.decay.max_age);
@@ -235,16 +237,16 @@
 }
 
 impl StateCollector {
-    /// Collects up to `max_hubs` further hubs out of `count`. `learned_hub` returns the state of the hub with an
-    /// index, or `None` if the hub is gone. Returns all collected hubs once the last index was visited.
+    /// Collects up to `max_hubs` further hubs out of `count`. `learned_hub` returns the state of the hub with
+    /// an index, or `None` if the hub is gone. Returns all collected hubs once the last index was visited.
     pub fn collect(
         &mut self,
         count: usize,
         max_hubs: usize,
         mut learned_hub: impl FnMut(usize) -> Option<LearnedHub>,
     ) -> Option<Vec<LearnedHub>> {
-        // On shutdown all remaining hubs are requested at once, possibly in the middle of a collection, so the
-        // sum must not overflow.
+        // On shutdown all remaining hubs are requested at once, possibly in the middle of a collection, so
+        // the sum must not overflow.
         let end = count.min(self.next.saturating_add(max_hubs));
         self.hubs.extend((self.next..end).filter_map(&mut learned_hub));
         self.next = end;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,4 +1,5 @@
-//! Tests of the core with injected time and without sockets: each rule that it enforces, and messages that cross.
+//! Tests of the core with injected time and without sockets: each rule that it enforces, and messages that
+//! cross.
 
 #[path = "common/site.rs"]
 mod site;
@@ -317,16 +318,16 @@
 #[test]
 fn a_drain_takes_effect_when_the_change_log_may_have_announced_it() {
     let mut harness = Harness::new();
-    let told = Micros(START - SECOND);
+    let announced = Micros(START - SECOND);
     let hubs = vec![hub("b", "10.0.0.2:1", 1, Phase::Draining)];
     harness.input(Input::HubList(HubListUpdate {
         full: false,
         hubs: hubs.clone(),
-        effective_since: told,
+        effective_since: announced,
         seq: 0,
     }));
     assert!(
-        matches!(harness.next_command(1), Some(ToHub::SetUpCutoff(Some(t))) if t == told + Micros(2 * SECOND))
+        matches!(harness.next_command(1), Some(ToHub::SetUpCutoff(Some(t))) if t == announced + Micros(2 * SECOND))
     );
     harness.advance(SECOND / 2);
     harness.input(list(false, hubs));
@@ -361,8 +362,8 @@
     );
 }
 
-/// For each way in which an attempt can end and each effect: whether and when the call is tried again, and how it is
-/// answered if not.
+/// For each way in which an attempt can end and each effect: whether and when the call is tried again, and
+/// how it is answered if not.
 #[test]
 fn each_attempt_end_is_repeated_or_answered_as_the_effect_of_its_class_allows() {
     let released = |cause, note| FromHub::Released(CallName(1), Cause(cause), note, Report::default());
@@ -725,8 +726,8 @@
     };
     let withdrawn = |call: u64, origin: u64| Input::Withdrawn(FrontId(0), Origin(origin), CallName(call));
     let (inputs, queue) = mpsc::channel(INPUT_QUEUE_CAPACITY);
-    // All inputs are queued before the core runs. The withdrawal of the second call comes from another connection; the
-    // third call is withdrawn and then offered again.
+    // All inputs are queued before the core runs. The withdrawal of the second call comes from another
+    // connection; the third call is withdrawn and then offered again.
     for input in [
         offer(1, 5),
         offer(2, 5),
--- a/tests/learning.rs
+++ b/tests/learning.rs
@@ -1,4 +1,5 @@
-//! Tests of the learned state: its encoding and old versions, its decay with age, and which hub it is restored for.
+//! Tests of the learned state: its encoding and old versions, its decay with age, and which hub it is
+//! restored for.
 
 use petreldock::interface::{Belief, Micros};
 use petreldock::learning::{
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Combined behaviour of many session controllers: the sum of their attempts with 1, 6, 70 and 280 controllers.
+//! Combined behaviour of many session controllers: the sum of their attempts with 1, 6, 70 and 280
+//! controllers.
 
 mod common;
 
@@ -37,8 +38,8 @@
         self.handle(Event::Probed(ServerId(server), Outcome::Success, report));
     }
 
-    /// Offers a call to one controller and returns the hub that it is sent to. `outcome` is the end of the attempt, if
-    /// any.
+    /// Offers a call to one controller and returns the hub that it is sent to. `outcome` is the end of the
+    /// attempt, if any.
     fn offer_call(&mut self, controller: usize, place: i64, outcome: Option<Outcome>) -> Option<u64> {
         self.next += 1;
         let id = CallId(self.next);
@@ -92,7 +93,8 @@
 fn the_set_up_budget_of_a_cold_hub_holds_for_the_sum_of_all_controllers() {
     for balancers in [1, 6, 70, 280] {
         let mut all = Controllers::new(balancers, 1);
-        // 640 calls of 8 s in progress mean that the hub carried 80 calls/s; after a start it carries 32 calls/s.
+        // 640 calls of 8 s in progress mean that the hub carried 80 calls/s; after a start it carries 32
+        // calls/s.
         all.report_lines(0, 160.0, 800.0);
         all.now += 10 * SECOND;
         let born = Some(Micros(all.now));
