--- a/src/learning/encoding.rs
+++ b/src/learning/encoding.rs
@@ -15,6 +15,7 @@
 mod v1 {
     use super::*;
 
+    /// The whole payload. Times are in microseconds, Unix time or spans.
     #[derive(Serialize, Deserialize)]
     pub struct Document {
         pub at: u64,
@@ -22,6 +23,7 @@
         pub hubs: Vec<Hub>,
     }
 
+    /// One hub of the payload.
     #[derive(Serialize, Deserialize)]
     pub struct Hub {
         pub uid: String,
@@ -46,6 +48,7 @@
 mod v2 {
     use super::*;
 
+    /// The whole payload. Times are in microseconds, Unix time or spans.
     #[derive(Serialize, Deserialize)]
     pub struct Document {
         pub at: u64,
@@ -53,6 +56,7 @@
         pub hubs: Vec<Hub>,
     }
 
+    /// One hub of the payload.
     #[derive(Serialize, Deserialize)]
     pub struct Hub {
         pub uid: String,
