--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,50 +1,54 @@
-//! The core: owns the module, the call table and the timer wheel, and knows no wire.
+//! The protocol-independent core. It owns the decision module, the call table and the timer wheel.
 //!
-//! One task runs it ([`run`]). Socket code reaches it through a bounded queue of [`Input`]s, and it
-//! answers through queues. The module decides; the core keeps the books and guards the rules
-//! against bugs elsewhere: one final answer a call, one attempt at a time, the release pause, drains.
+//! The core runs as a single task ([`run`]). Socket code sends it [`Input`]s through a bounded queue and
+//! receives commands through queues. The decision module ([`Controller`]) chooses what to do; the core keeps
+//! the state of calls and hubs and enforces the rules even if another component has a bug: one final answer
+//! per call, one attempt at a time, the release pause between attempts, and no new set-ups to a drained hub.
 
-pub mod ends;
+pub mod outcome;
+pub mod timer_wheel;
 mod types;
-pub mod wheel;
 
 pub use types::*;
 
 use crate::config::{Config, Limits, Names};
 use crate::interface::*;
-use crate::learning::{Identity, Kept, Memory, Painter, Picture};
+use crate::learning::{Identity, LearnedHub, LearnedState, RestoredState, StateCollector};
 use crate::metrics;
 use crate::Controller;
-use ends::Seen;
+use outcome::AttemptEnd;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
+use timer_wheel::{TimerWheel, TICK_LENGTH};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Duration, Instant, MissedTickBehavior};
-use wheel::{Wheel, TICK};
-
-/// How many inputs may wait before socket code has to.
-pub const QUEUE: usize = 4096;
-/// ... and how many of them are taken in between two looks at the clock's ticks.
-const TURN: usize = 64;
-/// How many answers may wait for a front.
-pub const ANSWERS: usize = 65_536;
-/// Ended calls stay known this long, so that late messages about them are not taken for news.
-const ENDED_KEPT: Micros = Micros(30_000_000);
-/// ... but no more than so many.
-const ENDED_MOST: usize = 32_768;
-/// The front passes its test this long after the start, though not all hubs have told their state.
-const READY_AFTER: Micros = Micros(1_000_000);
-/// Hubs in service and gone at most; what a list names beyond them is left out.
-const HUBS_MOST: usize = 4096;
-/// Hubs that are gone stay known up to so many, so that one that comes back keeps its id.
-const GONE_MOST: usize = 1024;
-/// A caller is taken to wait no longer than this, or than the longest deadline of the settings. Danger: the
-/// timers of a set-up stay till then, also once it is over.
-const WAIT_MOST: Micros = Micros(60_000_000);
-/// So many hubs' beliefs are gathered at one tick: no call waits for all of them.
-const PAINTED_EACH: usize = 128;
-
-/// The Unix clock: read once, and moved on by the monotonic one, which tests can pause.
+
+/// Capacity of the queue of inputs. Socket code waits while it is full.
+pub const INPUT_QUEUE_CAPACITY: usize = 4096;
+/// Number of inputs handled in a row before the timers are checked again.
+const INPUTS_PER_TICK_CHECK: usize = 64;
+/// Capacity of the queue of messages to one front.
+pub const FRONT_QUEUE_CAPACITY: usize = 65_536;
+/// How long the names of ended calls are remembered, so that late messages about them are recognised as late.
+const ENDED_CALL_RETENTION: Micros = Micros(30_000_000);
+/// Upper bound on the number of ended calls remembered within [`ENDED_CALL_RETENTION`].
+const MAX_ENDED_CALLS: usize = 32_768;
+/// Time after the start at which the process reports itself ready even if some hubs have not reported their
+/// state.
+const READY_TIMEOUT: Micros = Micros(1_000_000);
+/// Maximum number of hubs known at once, including removed ones. Further hubs in a list are ignored.
+const MAX_HUBS: usize = 4096;
+/// Number of removed hubs that are remembered, so that a hub that returns keeps its id.
+const MAX_GONE_HUBS: usize = 1024;
+/// Upper bound on how long a caller waits for an answer, unless a class of the settings has a longer
+/// deadline. The bound is needed because the timers of a set-up are kept until its deadline, even after it
+/// has ended.
+const MAX_CALLER_WAIT: Micros = Micros(60_000_000);
+/// Number of hubs whose learned state is collected at one tick, so that no call waits for all hubs.
+const HUBS_COLLECTED_PER_TICK: usize = 128;
+
+/// Unix time. The system clock is read once; after that the monotonic clock, which tests can pause, advances
+/// it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     base: Micros,
@@ -52,26 +56,27 @@
 }
 
 impl Clock {
-    /// Reads the system's clock.
+    /// Creates a clock from the current system time.
     pub fn system() -> Clock {
-        let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        Clock { base: Micros(since.as_micros() as u64), start: Instant::now() }
+        let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        Clock { base: Micros(elapsed.as_micros() as u64), start: Instant::now() }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.base + Micros(self.start.elapsed().as_micros() as u64)
     }
 
-    /// The instant of a time, for sleeping until it.
+    /// Converts a time to an [`Instant`], for sleeping until it.
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros((at - self.base).0)
     }
 }
 
-/// Opens the link to a hub at an endpoint.
-pub type Connect = Box<dyn FnMut(LinkId, &str) -> mpsc::Sender<ToHub> + Send>;
+/// Starts the link to the hub at an endpoint and returns the sender of its commands.
+pub type ConnectHub = Box<dyn FnMut(LinkId, &str) -> mpsc::Sender<ToHub> + Send>;
 
+/// State of a hub that is or was named by a list or by the operator's file.
 struct HubState {
     id: ServerId,
     uid: Arc<str>,
@@ -79,15 +84,17 @@
     place: i64,
     born: Option<Micros>,
     phase: Phase,
-    /// When it was told to drain or to be gone.
-    told: Option<Micros>,
+    /// When the hub was told to drain or was removed; `None` while it is in service.
+    leaving_since: Option<Micros>,
     link: Option<(LinkId, mpsc::Sender<ToHub>)>,
-    heard: bool,
-    fixed: bool,
-    /// No list has been passed on since it was first named.
-    fresh: bool,
-    /// Which list named it last.
-    named: u64,
+    /// Whether its current link has reported the hub's state.
+    reported: bool,
+    /// The hub comes from the operator's file, so no list removes it.
+    configured: bool,
+    /// The hub is new since the last list that was passed to the decision module.
+    newly_listed: bool,
+    /// Number of the last list update that named this hub.
+    last_listed: u64,
 }
 
 impl HubState {
@@ -96,98 +103,104 @@
         Identity { uid, endpoint, place: self.place, born: self.born }
     }
 
-    /// Gone, with no link left that could speak for it.
-    fn forgettable(&self) -> bool {
-        self.phase == Phase::Gone && self.link.is_none() && !self.fixed
+    /// Whether the hub is gone, has no link left and may be replaced by a new hub.
+    fn is_removable(&self) -> bool {
+        self.phase == Phase::Gone && self.link.is_none() && !self.configured
     }
 }
 
+/// The open attempt of a call at a hub.
 #[derive(Debug)]
 struct Attempt {
     link: LinkId,
     server: ServerId,
-    /// Its number within the call, as the module counts.
-    copy: u32,
-    /// Its own number.
+    /// Number of the attempt within its call, counted from 0 as the decision module does.
+    index: u32,
+    /// Number of the attempt, unique among all attempts of this process.
     number: u64,
-    sent: Micros,
-    /// When it times out.
-    until: Micros,
-    /// Set once it is being given up: how it will have ended.
-    ending: Option<Outcome>,
+    sent_at: Micros,
+    times_out_at: Micros,
+    /// Set when the attempt is given up: the outcome that it ends with.
+    give_up_reason: Option<Outcome>,
 }
 
+/// A call that is being set up, is established or is being given up.
 struct Call {
     id: CallId,
     name: CallName,
     front: FrontId,
     origin: Origin,
     class: Arc<str>,
-    /// What a repeat of it does at a hub.
+    /// Whether the set-up may be repeated at a hub once it may have run.
     effect: Effect,
     number: Arc<str>,
     description: Description,
     deadline: Micros,
-    /// The final answer is given, or none is owed any more.
+    /// The final answer was given, or none is owed any more.
     answered: bool,
-    standing: bool,
-    out: Option<Attempt>,
-    sent: u32,
-    /// An attempt of it ended without proof that it never ran.
+    established: bool,
+    attempt: Option<Attempt>,
+    attempts_sent: u32,
+    /// An attempt ended without proof that it never ran.
     may_have_run: bool,
+    /// End of the release pause: no further attempt starts earlier.
     not_before: Micros,
 }
 
 impl Call {
-    /// Whether to have it run again, or to tell its caller that nothing ran, may do harm.
-    fn once(&self) -> bool {
+    /// Whether a further attempt, or telling the caller that nothing ran, could do harm.
+    fn must_not_repeat(&self) -> bool {
         self.effect != Effect::Free && self.may_have_run
     }
 }
 
-enum Due {
+/// What to do when a timer of the core fires.
+enum TimerEvent {
+    /// A timer that the decision module asked for, with its token.
     Module(u64),
+    /// The time-out of the attempt with this number.
     Attempt(CallId, u64),
     Deadline(CallId),
-    Stop,
+    /// The end of the time that open calls get when the process shuts down.
+    Shutdown,
 }
 
-/// Where pictures of what is believed go; the latest wins.
-pub type Pictures = watch::Sender<Option<Arc<Picture>>>;
+/// Channel for exported learned state; receivers see only the latest value.
+pub type LearnedStateSender = watch::Sender<Option<Arc<LearnedState>>>;
 
-/// Hands out what is believed, every so often.
-struct Keeping {
-    pictures: Pictures,
-    every: Micros,
-    next: Micros,
-    painter: Option<Painter>,
+/// Periodic export of the learned state.
+struct StateExport {
+    sender: LearnedStateSender,
+    interval: Micros,
+    next_at: Micros,
+    collector: Option<StateCollector>,
 }
 
-/// How the core is, for its fronts and for the end of the program.
+/// State of the core, as used by the fronts and by the shutdown of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// The hubs have told their state, or have had their time to.
-    pub settled: bool,
-    /// The program is to end.
+    /// The hubs have reported their state, or the time allowed for this has passed.
+    pub ready: bool,
+    /// The process is shutting down.
     pub stopping: bool,
-    /// Calls whose final answer is owed.
+    /// Number of calls that still wait for their final answer.
     pub unanswered: usize,
 }
 
-/// What the core has to do, for those who tell others of it.
+/// Current load of this process, as reported to other controllers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
-    /// Set-ups that callers brought, since the start.
+pub struct LoadSummary {
+    /// Number of set-ups received from callers since the start.
     pub offered: u64,
-    /// Set-ups out at hubs, and calls that stand there.
+    /// Number of calls at hubs, both set-ups without an answer and established calls.
     pub open: u32,
-    /// The newest event of the change log.
+    /// Sequence number of the newest change-log event seen.
     pub seq: u64,
-    /// The program is to end.
+    /// The process is shutting down.
     pub stopping: bool,
 }
 
-/// The core's whole state. It reads no clock: time comes in.
+/// State of the core. It reads no clock: callers pass the current time to each method.
 pub struct Core {
     controller: Controller,
     names: Names,
@@ -196,54 +209,55 @@
     limits: Limits,
     max_attempts: u32,
     fronts: Vec<mpsc::Sender<ToFront>>,
-    connect: Connect,
+    connect: ConnectHub,
     status: watch::Sender<Status>,
     stopping: bool,
-    /// The end is so near that no hub's answer would come in time.
-    refuses_new: bool,
+    /// The shutdown time has passed, so no answer of a hub could arrive in time.
+    refuse_new_calls: bool,
     started: Micros,
-    wheel: Wheel<Due>,
+    timers: TimerWheel<TimerEvent>,
     calls: BTreeMap<CallId, Call>,
-    by_name: HashMap<CallName, CallId>,
-    /// Calls whose final answer is owed.
+    call_by_name: HashMap<CallName, CallId>,
+    /// Number of calls that still wait for their final answer.
     unanswered: usize,
-    /// Bytes of the descriptions that the calls hold.
+    /// Total size of the descriptions that open calls hold.
     description_bytes: usize,
-    ended: HashMap<CallName, Micros>,
-    ended_by_age: VecDeque<(CallName, Micros)>,
+    ended_calls: HashMap<CallName, Micros>,
+    ended_calls_by_age: VecDeque<(CallName, Micros)>,
     hubs: Vec<HubState>,
-    by_uid: HashMap<Arc<str>, usize>,
-    by_id: BTreeMap<ServerId, usize>,
-    /// Hubs that may be forgotten, with since when they were told to go.
-    gone: BTreeSet<(Micros, usize)>,
-    links: BTreeMap<LinkId, usize>,
-    /// Which hub's link leads to an address.
-    linked: HashMap<Arc<str>, usize>,
-    /// Links told to close, with set-ups that are not settled yet.
-    closing: BTreeSet<LinkId>,
-    /// Which calls have an attempt at which link.
-    at: BTreeSet<(LinkId, CallId)>,
-    last_call: u64,
-    last_attempt: u64,
-    last_link: u64,
-    last_hub: u64,
-    lists: u64,
-    listed: bool,
-    /// The change log, where there is one, was heard since the start.
-    current: bool,
-    memory: Option<Memory>,
-    keeping: Option<Keeping>,
+    hub_by_uid: HashMap<Arc<str>, usize>,
+    hub_by_id: BTreeMap<ServerId, usize>,
+    /// Hubs that a new hub may replace, ordered by the time at which they were removed.
+    removable_hubs: BTreeSet<(Micros, usize)>,
+    hub_by_link: BTreeMap<LinkId, usize>,
+    /// Index of the hub whose link leads to an address.
+    hub_by_endpoint: HashMap<Arc<str>, usize>,
+    /// Links that were told to close and still have set-ups whose end is not known.
+    closing_links: BTreeSet<LinkId>,
+    /// Calls that have an attempt at a link.
+    calls_by_link: BTreeSet<(LinkId, CallId)>,
+    last_call_id: u64,
+    last_attempt_number: u64,
+    last_link_id: u64,
+    last_hub_id: u64,
+    /// Number of hub list updates applied so far.
+    update_count: u64,
+    full_list_received: bool,
+    /// No change log is configured, or all its events up to now were received since the start.
+    change_log_current: bool,
+    restored: Option<RestoredState>,
+    export: Option<StateExport>,
     offered: u64,
     seq: u64,
-    figures: Option<watch::Sender<Figures>>,
+    load_sender: Option<watch::Sender<LoadSummary>>,
 }
 
 impl Core {
-    /// A core that knows no hub yet. `status` is kept up to date for the fronts.
+    /// Creates a core that knows no hubs. `status` is kept up to date for the fronts.
     pub fn new(
         config: &Config,
         fronts: Vec<mpsc::Sender<ToFront>>,
-        connect: Connect,
+        connect: ConnectHub,
         status: watch::Sender<Status>,
         now: Micros,
     ) -> Result<Core, SettingsError> {
@@ -257,242 +271,250 @@
             connect,
             status,
             stopping: false,
-            refuses_new: false,
+            refuse_new_calls: false,
             started: now,
-            wheel: Wheel::new(now),
+            timers: TimerWheel::new(now),
             calls: BTreeMap::new(),
-            by_name: HashMap::new(),
+            call_by_name: HashMap::new(),
             unanswered: 0,
             description_bytes: 0,
-            ended: HashMap::new(),
-            ended_by_age: VecDeque::new(),
+            ended_calls: HashMap::new(),
+            ended_calls_by_age: VecDeque::new(),
             hubs: Vec::new(),
-            by_uid: HashMap::new(),
-            by_id: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            links: BTreeMap::new(),
-            linked: HashMap::new(),
-            closing: BTreeSet::new(),
-            at: BTreeSet::new(),
-            last_call: 0,
-            last_attempt: 0,
-            last_link: 0,
-            last_hub: 0,
-            lists: 0,
-            listed: false,
-            current: config.change_log.is_none(),
-            memory: None,
-            keeping: None,
+            hub_by_uid: HashMap::new(),
+            hub_by_id: BTreeMap::new(),
+            removable_hubs: BTreeSet::new(),
+            hub_by_link: BTreeMap::new(),
+            hub_by_endpoint: HashMap::new(),
+            closing_links: BTreeSet::new(),
+            calls_by_link: BTreeSet::new(),
+            last_call_id: 0,
+            last_attempt_number: 0,
+            last_link_id: 0,
+            last_hub_id: 0,
+            update_count: 0,
+            full_list_received: false,
+            change_log_current: config.change_log.is_none(),
+            restored: None,
+            export: None,
             offered: 0,
             seq: 0,
-            figures: None,
+            load_sender: None,
         })
     }
 
-    /// Takes up what an earlier start knew. It is for the hubs that the next lists name.
-    pub fn recollect(&mut self, memory: Memory) {
-        self.memory = Some(memory);
+    /// Takes state that an earlier run saved. It is applied to the hubs that the next lists name.
+    pub fn restore(&mut self, restored: RestoredState) {
+        self.restored = Some(restored);
     }
 
-    /// Has what is believed handed out every so often, once a list has come.
-    pub fn keep(&mut self, pictures: Pictures, every: Micros, now: Micros) {
-        self.keeping = Some(Keeping { pictures, every, next: now + every, painter: None });
+    /// Sends the learned state to `sender` at every `interval`, starting once a list was received.
+    pub fn export_state(&mut self, sender: LearnedStateSender, interval: Micros, now: Micros) {
+        self.export = Some(StateExport { sender, interval, next_at: now + interval, collector: None });
     }
 
-    /// Has it said at every tick what there is to do.
-    pub fn tell_figures(&mut self, figures: watch::Sender<Figures>) {
-        self.figures = Some(figures);
+    /// Sends the current load to a channel at every tick.
+    pub fn publish_load(&mut self, sender: watch::Sender<LoadSummary>) {
+        self.load_sender = Some(sender);
     }
 
-    /// Calls in the table.
+    /// Returns the number of calls in the table.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Hubs that are known, in service and gone.
+    /// Returns the number of known hubs, including removed ones.
     pub fn known_hubs(&self) -> usize {
         self.hubs.len()
     }
 
-    /// Adds hubs that no list names or takes away: those of the operator's file.
-    pub fn fix(&mut self, now: Micros, hubs: Vec<Hub>) {
+    /// Adds the hubs of the operator's file. No list removes them.
+    pub fn add_configured_hubs(&mut self, now: Micros, hubs: Vec<Hub>) {
         for hub in &hubs {
-            if let Some(index) = self.hub(hub) {
-                self.hubs[index].fixed = true;
+            if let Some(index) = self.find_or_add_hub(hub) {
+                self.hubs[index].configured = true;
             }
         }
-        self.list(now, News { all: false, hubs, told: now, seq: 0 });
+        self.apply_hub_list(now, HubListUpdate { full: false, hubs, effective_since: now, seq: 0 });
     }
 
-    /// Takes one input.
+    /// Processes one input.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Offer(offer) => self.offer(now, offer),
+            Input::Offer(offer) => self.handle_offer(now, offer),
             Input::Withdrawn(front, origin, name) => {
-                // A lost connection withdraws its own set-ups alone.
-                let known = self.by_name.get(&name).and_then(|id| self.calls.get(id));
+                // A lost connection withdraws only the set-ups that came in on it.
+                let known = self.call_by_name.get(&name).and_then(|id| self.calls.get(id));
                 if known.is_some_and(|c| c.origin == origin) {
-                    self.withdrawn(now, front, name);
+                    self.handle_withdrawal(now, front, name);
                 }
             }
-            Input::Stop(by) => {
+            Input::Shutdown(by) => {
                 self.stopping = true;
-                self.wheel.add(by, Due::Stop);
+                self.timers.add(by, TimerEvent::Shutdown);
             }
-            Input::Hangup(front, name, cause) => self.hangup(now, front, name, cause),
+            Input::Hangup(front, name, cause) => self.handle_hangup(now, front, name, cause),
             Input::Media(front, name, frame) => {
-                let call = self.by_name.get(&name).and_then(|id| self.calls.get(id));
-                let call = call.filter(|c| c.standing && c.front == front);
-                if let Some(out) = call.and_then(|c| c.out.as_ref()) {
-                    let (link, message) = (out.link, ToHub::Media(name, frame));
+                let call = self.call_by_name.get(&name).and_then(|id| self.calls.get(id));
+                let call = call.filter(|c| c.established && c.front == front);
+                if let Some(attempt) = call.and_then(|c| c.attempt.as_ref()) {
+                    let (link, message) = (attempt.link, ToHub::Media(name, frame));
                     self.to_hub(link, message);
                 }
             }
-            Input::Hub(link, from) => self.heard(now, link, from),
-            Input::List(news) => self.list(now, news),
-            Input::Current => self.current = true,
-            Input::Keep => self.paint(now, usize::MAX),
+            Input::Hub(link, event) => self.handle_hub_event(now, link, event),
+            Input::HubList(update) => self.apply_hub_list(now, update),
+            Input::ChangeLogCurrent => self.change_log_current = true,
+            Input::ExportState => self.collect_state(now, usize::MAX),
         }
     }
 
-    /// Gathers the beliefs of up to `most` more hubs, and hands out the picture once it is whole.
-    fn paint(&mut self, now: Micros, most: usize) {
-        // Danger: before the first list nothing is known; what the last start knew must not give way to it.
-        let Some(keeping) = self.keeping.as_mut().filter(|_| !self.hubs.is_empty()) else { return };
+    /// Collects the learned state of up to `max_hubs` further hubs, and exports it once all are collected.
+    fn collect_state(&mut self, now: Micros, max_hubs: usize) {
+        // Before the first list no hub is known. An export now would overwrite the state that the last run
+        // saved with an empty one.
+        let Some(export) = self.export.as_mut().filter(|_| !self.hubs.is_empty()) else { return };
         let (hubs, controller) = (&self.hubs, &self.controller);
-        let look = |i: usize| {
+        let learned_hub = |i: usize| {
             let hub = hubs.get(i).filter(|h| h.phase != Phase::Gone)?;
-            Some(Kept { hub: hub.identity(), belief: controller.belief(hub.id)? })
+            Some(LearnedHub { hub: hub.identity(), belief: controller.belief(hub.id)? })
         };
-        let painter = keeping.painter.get_or_insert_default();
-        if let Some(mut gathered) = painter.add(hubs.len(), most, look) {
-            let unnamed = self.memory.iter().flat_map(|m| m.unnamed(now)).cloned();
-            gathered.extend(unnamed.take(HUBS_MOST.saturating_sub(hubs.len())));
-            let picture = Picture { at: now, hold: controller.hold(), hubs: gathered };
-            keeping.painter = None;
-            keeping.next = now + keeping.every;
-            keeping.pictures.send_replace(Some(Arc::new(picture)));
+        let collector = export.collector.get_or_insert_default();
+        if let Some(mut learned_hubs) = collector.collect(hubs.len(), max_hubs, learned_hub) {
+            let unlisted = self.restored.iter().flat_map(|m| m.unlisted(now)).cloned();
+            learned_hubs.extend(unlisted.take(MAX_HUBS.saturating_sub(hubs.len())));
+            let learned = LearnedState { at: now, hold: controller.hold(), hubs: learned_hubs };
+            export.collector = None;
+            export.next_at = now + export.interval;
+            export.sender.send_replace(Some(Arc::new(learned)));
         }
     }
 
-    /// What an earlier start knew of the hubs that are named for the first time.
-    fn recall(&mut self, now: Micros) {
-        let Some(memory) = &mut self.memory else { return };
-        let fresh = self.hubs.iter_mut().filter(|h| h.fresh);
+    /// Passes the saved state of hubs that a list names for the first time to the decision module.
+    fn recall_new_hubs(&mut self, now: Micros) {
+        let Some(restored) = &mut self.restored else { return };
+        let newly_listed = self.hubs.iter_mut().filter(|h| h.newly_listed);
         let mut recalled = Vec::new();
-        for hub in fresh {
-            hub.fresh = false;
-            recalled.extend(memory.recall(&hub.identity(), now).map(|belief| (hub.id, belief)));
+        for hub in newly_listed {
+            hub.newly_listed = false;
+            recalled.extend(restored.recall(&hub.identity(), now).map(|belief| (hub.id, belief)));
         }
-        let hold = memory.hold(now);
-        if memory.is_empty() {
-            self.memory = None;
+        let hold = restored.hold(now);
+        if restored.is_empty() {
+            self.restored = None;
         }
         if hold.is_some() || !recalled.is_empty() {
-            self.tell(now, Event::Recalled(hold, recalled));
+            self.dispatch(now, Event::Recalled(hold, recalled));
         }
     }
 
-    /// Hands out what is due.
+    /// Handles the timers that are due and publishes the current status and load.
     pub fn tick(&mut self, now: Micros) {
-        for due in self.wheel.advance(now) {
-            match due {
-                Due::Module(token) => self.tell(now, Event::Timer(token)),
-                Due::Attempt(id, number) => {
-                    let out = self.calls.get(&id).filter(|c| !c.standing).and_then(|c| c.out.as_ref());
-                    if out.is_some_and(|o| o.number == number && o.ending.is_none()) {
+        for event in self.timers.advance(now) {
+            match event {
+                TimerEvent::Module(token) => self.dispatch(now, Event::Timer(token)),
+                TimerEvent::Attempt(id, number) => {
+                    let attempt =
+                        self.calls.get(&id).filter(|c| !c.established).and_then(|c| c.attempt.as_ref());
+                    if attempt.is_some_and(|o| o.number == number && o.give_up_reason.is_none()) {
                         self.give_up(id, Outcome::TimedOut);
                     }
                 }
-                // Guards the first rule: the module answers a little before; this is for its bugs.
-                Due::Deadline(id) => {
+                // The decision module answers shortly before the deadline. This ensures a final answer by the
+                // deadline even if it does not.
+                TimerEvent::Deadline(id) => {
                     if self.calls.get(&id).is_some_and(|c| !c.answered) {
-                        self.finish(now, Action::Fail(id));
+                        self.give_final_answer(now, Action::Fail(id));
                     }
                 }
-                // What is open when the program must end is refused, else it would be lost.
-                Due::Stop => {
-                    self.refuses_new = true;
+                // Calls still open when the process must end are refused; otherwise their callers would get
+                // no answer.
+                TimerEvent::Shutdown => {
+                    self.refuse_new_calls = true;
                     let open = self.calls.values().filter(|c| !c.answered).map(|c| c.id);
                     let open: Vec<CallId> = open.collect();
                     for id in open {
-                        self.finish(now, Action::Refuse(id, Micros(0)));
-                        self.tell(now, Event::Left(id));
+                        self.give_final_answer(now, Action::Refuse(id, Micros(0)));
+                        self.dispatch(now, Event::Left(id));
                     }
                 }
             }
         }
-        while self.ended_by_age.front().is_some_and(|(_, at)| *at + ENDED_KEPT < now) {
-            self.forget_oldest();
+        while self.ended_calls_by_age.front().is_some_and(|(_, at)| *at + ENDED_CALL_RETENTION < now) {
+            self.forget_oldest_ended_call();
         }
-        if self.keeping.as_ref().is_some_and(|k| k.next <= now || k.painter.is_some()) {
-            self.paint(now, PAINTED_EACH);
+        if self.export.as_ref().is_some_and(|e| e.next_at <= now || e.collector.is_some()) {
+            self.collect_state(now, HUBS_COLLECTED_PER_TICK);
         }
-        if let Some(figures) = &self.figures {
-            let (open, stopping) = (self.at.len() as u32, self.stopping);
-            figures.send_replace(Figures { offered: self.offered, open, seq: self.seq, stopping });
+        if let Some(sender) = &self.load_sender {
+            let (open, stopping) = (self.calls_by_link.len() as u32, self.stopping);
+            sender.send_replace(LoadSummary { offered: self.offered, open, seq: self.seq, stopping });
         }
-        let was = *self.status.borrow();
-        let settled = was.settled || self.started + READY_AFTER <= now || self.informed();
-        let status = Status { settled, stopping: self.stopping, unanswered: self.unanswered };
-        if status != was {
+        let previous = *self.status.borrow();
+        let ready = previous.ready || self.started + READY_TIMEOUT <= now || self.has_initial_state();
+        let status = Status { ready, stopping: self.stopping, unanswered: self.unanswered };
+        if status != previous {
             self.status.send_replace(status);
         }
     }
 
-    /// Whether the start's news are in: the change log's, and the state of every hub. Danger: the list of the
-    /// start may be older than a drain that counts as told.
-    fn informed(&self) -> bool {
-        let asked = |h: &&HubState| h.phase == Phase::Up && !h.fixed;
-        self.listed && self.current && self.hubs.iter().filter(asked).all(|h| h.heard)
+    /// Whether the change log was read and every hub of the list has reported its state since the start. The
+    /// list in the configuration is not enough: it may be older than a drain that is already in effect.
+    fn has_initial_state(&self) -> bool {
+        let expected = |h: &&HubState| h.phase == Phase::Up && !h.configured;
+        self.full_list_received
+            && self.change_log_current
+            && self.hubs.iter().filter(expected).all(|h| h.reported)
     }
 
     // ---- callers ----
 
-    fn offer(&mut self, now: Micros, offer: Offer) {
+    fn handle_offer(&mut self, now: Micros, offer: Offer) {
         self.offered += 1;
         metrics::CALLS_OFFERED.increment();
-        if let Some(known) = self.by_name.get(&offer.call).and_then(|id| self.calls.get(id)) {
-            // A repeat of a set-up that is open: its answer is owed once. Danger: one from elsewhere, or
-            // of a call that stands or is still being given up at a hub, must not get a second attempt,
-            // nor leave whoever sent it without a word.
+        if let Some(known) = self.call_by_name.get(&offer.call).and_then(|id| self.calls.get(id)) {
+            // A retransmission of an open set-up is ignored, because it is answered only once. One from
+            // another connection, or of a call that is established or still being given up at a hub, must not
+            // start a second attempt, but its sender must get an answer.
             if known.answered || known.origin != offer.origin {
                 self.to_front(offer.front, ToFront::Refuse(offer.origin, offer.call, Micros(0)));
             }
             return;
         }
-        if self.refuses_new {
+        if self.refuse_new_calls {
             metrics::CALLS_REFUSED.increment();
             return self.to_front(offer.front, ToFront::Refuse(offer.origin, offer.call, Micros(0)));
         }
         let class = self.names.classes.get(&*offer.class).copied();
-        let Some((class, (effect, waits))) = class.and_then(|c| Some((c, *self.classes.get(c)?))) else {
+        let Some((class, (effect, class_deadline))) = class.and_then(|c| Some((c, *self.classes.get(c)?)))
+        else {
             return self.to_front(offer.front, ToFront::Fail(offer.origin, offer.call));
         };
-        let longest = self.classes.iter().map(|(_, deadline)| *deadline).fold(WAIT_MOST, Micros::max);
-        let deadline = offer.deadline.unwrap_or(now + waits).min(now + longest);
-        // Danger: set-ups of 16 KiB each fill the memory long before the table is full.
+        let longest = self.classes.iter().map(|(_, deadline)| *deadline).fold(MAX_CALLER_WAIT, Micros::max);
+        let deadline = offer.deadline.unwrap_or(now + class_deadline).min(now + longest);
+        // The number of calls alone does not bound the memory: set-ups of 16 KiB each would exhaust it long
+        // before the table is full.
         let held = self.description_bytes + offer.description.bytes.len();
         if self.calls.len() >= self.limits.max_open || held > self.limits.description_bytes {
             return self.to_front(offer.front, ToFront::Refuse(offer.origin, offer.call, Micros(0)));
         }
-        self.last_call += 1;
-        let id = CallId(self.last_call);
-        let asked = NewCall {
+        self.last_call_id += 1;
+        let id = CallId(self.last_call_id);
+        let new_call = NewCall {
             id,
             class,
             place: offer.place,
-            number: number_of(&offer.number),
+            number: number_key(&offer.number),
             deadline,
             repeat: offer.repeat,
             returned: offer.returned,
             transit: false,
         };
-        tracing::debug!(call = %offer.call, within_us = (deadline - now).0, "taken");
+        tracing::debug!(call = %offer.call, within_us = (deadline - now).0, "call accepted");
         self.description_bytes = held;
         self.unanswered += 1;
-        self.by_name.insert(offer.call, id);
-        self.wheel.add(deadline, Due::Deadline(id));
+        self.call_by_name.insert(offer.call, id);
+        self.timers.add(deadline, TimerEvent::Deadline(id));
         let call = Call {
             id,
             name: offer.call,
@@ -504,108 +526,127 @@
             description: offer.description,
             deadline,
             answered: false,
-            standing: false,
-            out: None,
-            sent: 0,
+            established: false,
+            attempt: None,
+            attempts_sent: 0,
             may_have_run: false,
             not_before: Micros(0),
         };
         self.calls.insert(id, call);
-        self.tell(now, Event::Call(asked));
+        self.dispatch(now, Event::Call(new_call));
     }
 
-    fn withdrawn(&mut self, now: Micros, front: FrontId, name: CallName) {
-        let Some(id) = self.by_name.get(&name).copied() else { return };
+    fn handle_withdrawal(&mut self, now: Micros, front: FrontId, name: CallName) {
+        let Some(id) = self.call_by_name.get(&name).copied() else { return };
         let Some(call) = self.calls.get_mut(&id).filter(|c| c.front == front && !c.answered) else { return };
         call.answered = true;
         self.unanswered -= 1;
-        self.tell(now, Event::Left(id));
+        self.dispatch(now, Event::Left(id));
         self.give_up(id, Outcome::Withdrawn);
-        self.drop_if_over(now, id);
+        self.remove_call_if_over(now, id);
     }
 
-    fn hangup(&mut self, now: Micros, front: FrontId, name: CallName, cause: Cause) {
-        let Some(id) = self.by_name.get(&name).copied() else {
-            // A call from before this start: whichever hub has it may hear of its release.
-            if !self.ended.contains_key(&name) {
-                let links: Vec<LinkId> = self.links.keys().copied().collect();
+    fn handle_hangup(&mut self, now: Micros, front: FrontId, name: CallName, cause: Cause) {
+        let Some(id) = self.call_by_name.get(&name).copied() else {
+            // The call may have been set up before this process started. The hub that holds it is not known,
+            // so all hubs get the release.
+            if !self.ended_calls.contains_key(&name) {
+                let links: Vec<LinkId> = self.hub_by_link.keys().copied().collect();
                 links.into_iter().for_each(|link| self.to_hub(link, ToHub::Release(name, cause)));
-                self.remember_ended(now, name);
+                self.remember_ended_call(now, name);
             }
             return;
         };
-        let standing = self.calls.get(&id).filter(|c| c.front == front && c.standing);
-        if let Some(link) = standing.and_then(|c| c.out.as_ref()).map(|o| o.link) {
+        let established = self.calls.get(&id).filter(|c| c.front == front && c.established);
+        if let Some(link) = established.and_then(|c| c.attempt.as_ref()).map(|o| o.link) {
             self.to_hub(link, ToHub::Release(name, cause));
             self.end_attempt(now, id, Outcome::Withdrawn, false, Report::default());
         }
-        // Danger: any connection may end what stands, but a set-up is ended by its own connection alone.
+        // Any connection may release an established call, but only the connection that a set-up came in on
+        // may end the set-up.
     }
 
     // ---- hubs ----
 
-    fn heard(&mut self, now: Micros, link: LinkId, from: FromHub) {
-        let index = self.links.get(&link).copied();
-        // A link that closes has its set-ups settled, and is believed in nothing else.
-        let settles = matches!(
-            from,
+    fn handle_hub_event(&mut self, now: Micros, link: LinkId, event: FromHub) {
+        let index = self.hub_by_link.get(&link).copied();
+        // From a link that is closing, only the ends of its set-ups are accepted.
+        let ends_set_up = matches!(
+            event,
             FromHub::GivenUp { .. }
-                | FromHub::Broken(..)
+                | FromHub::ConnectionLost(..)
                 | FromHub::Unreachable(..)
                 | FromHub::NotSent(..)
                 | FromHub::Closed
         );
-        if index.is_none() && !(settles && self.closing.contains(&link)) {
+        if index.is_none() && !(ends_set_up && self.closing_links.contains(&link)) {
             return;
         }
-        match from {
-            FromHub::Stands(name, description) => self.stands(now, link, name, description),
+        match event {
+            FromHub::Answered(name, description) => self.handle_answer(now, link, name, description),
             FromHub::Released(name, cause, note, report) => {
-                let Some((id, call)) = self.at_link(link, name) else {
-                    self.probed(now, index, report);
-                    // A call from before this start. Danger: one that ended here must not end twice.
-                    if !self.by_name.contains_key(&name) && !self.ended.contains_key(&name) {
+                let Some((id, call)) = self.call_at_link(link, name) else {
+                    self.forward_load_report(now, index, report);
+                    // The call may have been set up before this process started, so all fronts get the
+                    // release. A call that already ended here must not be released a second time.
+                    if !self.call_by_name.contains_key(&name) && !self.ended_calls.contains_key(&name) {
                         for front in 0..self.fronts.len() {
                             self.to_front(FrontId(front), ToFront::Release(None, name, cause));
                         }
-                        self.remember_ended(now, name);
+                        self.remember_ended_call(now, name);
                     }
                     return;
                 };
-                let outcome = ends::outcome(Seen::Released(cause, note), call.standing, None);
-                if call.standing {
+                let outcome = outcome::outcome_of(AttemptEnd::Released(cause, note), call.established, None);
+                if call.established {
                     let (front, origin) = (call.front, call.origin);
                     metrics::CALLS_RELEASED.increment();
                     self.to_front(front, ToFront::Release(Some(origin), name, cause));
                 }
-                self.end_attempt(now, id, outcome, note == Note::Engaged, report);
+                self.end_attempt(now, id, outcome, note == RefusalNote::NumberBusy, report);
             }
             FromHub::ReleasedUnanswered(name, cause, report) => {
-                self.released_unanswered(now, link, name, cause, report);
+                self.handle_release_before_answer(now, link, name, cause, report);
             }
             FromHub::GivenUp { attempt, call, began } => {
-                self.over(now, call, attempt, if began { Seen::GivenUp } else { Seen::TakenBack });
+                self.handle_set_up_end(
+                    now,
+                    call,
+                    attempt,
+                    if began { AttemptEnd::GivenUp } else { AttemptEnd::CancelledUnsent },
+                );
+            }
+            FromHub::ConnectionLost(name, attempt) => {
+                self.handle_set_up_end(now, name, attempt, AttemptEnd::ConnectionLost)
+            }
+            FromHub::Unreachable(name, attempt) => {
+                self.handle_set_up_end(now, name, attempt, AttemptEnd::Unreachable)
             }
-            FromHub::Broken(name, attempt) => self.over(now, name, attempt, Seen::Lost),
-            FromHub::Unreachable(name, attempt) => self.over(now, name, attempt, Seen::Unreachable),
             FromHub::NotSent(name, attempt) => {
-                let late = self.attempt(name, attempt).is_none_or(|(_, out)| now >= out.until);
-                self.over(now, name, attempt, if late { Seen::Late } else { Seen::Drained });
+                let expired =
+                    self.open_attempt(name, attempt).is_none_or(|(_, open)| now >= open.times_out_at);
+                self.handle_set_up_end(
+                    now,
+                    name,
+                    attempt,
+                    if expired { AttemptEnd::NotSentExpired } else { AttemptEnd::NotSentDraining },
+                );
             }
-            FromHub::State(report) => {
+            FromHub::LoadReport(report) => {
                 if let Some(index) = index {
-                    self.hubs[index].heard = true;
+                    self.hubs[index].reported = true;
                 }
-                self.probed(now, index, report);
+                self.forward_load_report(now, index, report);
             }
             FromHub::Closed => {
-                self.closing.remove(&link);
-                // Guards against a link that forgot one: with its connections closed, nothing is out there.
-                self.cut(now, link, |_| true);
+                self.closing_links.remove(&link);
+                // Ends attempts that the link has failed to report: with its connections closed, none is
+                // open.
+                self.end_attempts_at_link(now, link, |_| true);
             }
-            FromHub::Dead => self.cut_standing(now, link, index, "dead"),
+            FromHub::Dead => self.cut_established_calls(now, link, index, "dead"),
             FromHub::Media(name, frame) => {
-                let call = self.at_link(link, name).map(|(_, c)| (c.standing, c.front, c.origin));
+                let call = self.call_at_link(link, name).map(|(_, c)| (c.established, c.front, c.origin));
                 if let Some((true, front, origin)) = call {
                     self.to_front(front, ToFront::Media(origin, name, frame));
                 }
@@ -613,11 +654,11 @@
         }
     }
 
-    /// A hub's release overtook its answer: the call stood there, or may have, and is over. Its caller is owed
-    /// the end within 1 s (PROTOCOL, 'The rules on sockets'), and there is no answer that could be passed on
-    /// first. Danger: a further attempt would leave the caller untold of the end of the call that it made, and
-    /// answered for another one. The answer that still comes is nobody's.
-    fn released_unanswered(
+    /// Handles a hub's release that arrived before its answer. The call was, or may have been, established at
+    /// the hub and is over. The caller must be told of the end within 1 s, and there is no answer to pass on
+    /// first, so the call fails. A further attempt would hide the end of this call from the caller and answer
+    /// it with a different one. An answer that arrives later belongs to no call.
+    fn handle_release_before_answer(
         &mut self,
         now: Micros,
         link: LinkId,
@@ -625,211 +666,220 @@
         cause: Cause,
         report: Report,
     ) {
-        let Some((id, call)) = self.at_link(link, name) else { return };
-        let outcome = ends::outcome(Seen::ReleasedUnanswered(cause), call.standing, None);
+        let Some((id, call)) = self.call_at_link(link, name) else { return };
+        let outcome = outcome::outcome_of(AttemptEnd::ReleasedUnanswered(cause), call.established, None);
         self.fail_without_give_up(now, id);
         self.end_attempt(now, id, outcome, false, report);
     }
 
-    /// Gives the final answer 'failed' if one is owed, and leaves the attempt that is out alone: its hub has
-    /// ended it.
+    /// Fails the call if its final answer is owed. The open attempt is not given up, because the hub has
+    /// already ended it.
     fn fail_without_give_up(&mut self, now: Micros, id: CallId) {
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
         call.answered = true;
         self.unanswered -= 1;
         let (front, message) = (call.front, ToFront::Fail(call.origin, call.name));
         metrics::CALLS_FAILED.increment();
-        tracing::debug!(call = %call.name, "failed: released without an answer");
+        tracing::debug!(call = %call.name, "call failed: released before its answer");
         self.to_front(front, message);
-        self.tell(now, Event::Left(id));
+        self.dispatch(now, Event::Left(id));
     }
 
-    fn probed(&mut self, now: Micros, index: Option<usize>, report: Report) {
+    fn forward_load_report(&mut self, now: Micros, index: Option<usize>, report: Report) {
         if let Some(index) = index.filter(|_| report != Report::default()) {
-            self.tell(now, Event::Probed(self.hubs[index].id, Outcome::Success, report));
+            self.dispatch(now, Event::Probed(self.hubs[index].id, Outcome::Success, report));
         }
     }
 
-    fn stands(&mut self, now: Micros, link: LinkId, name: CallName, description: Description) {
-        let id = self.by_name.get(&name).copied();
+    fn handle_answer(&mut self, now: Micros, link: LinkId, name: CallName, description: Description) {
+        let id = self.call_by_name.get(&name).copied();
         let call = id.and_then(|id| self.calls.get_mut(&id));
-        let out =
-            call.and_then(|c| c.out.as_ref().filter(|o| o.link == link).map(|o| (o.ending, c.standing)));
-        match (id, out) {
+        let attempt = call.and_then(|c| {
+            c.attempt.as_ref().filter(|o| o.link == link).map(|o| (o.give_up_reason, c.established))
+        });
+        match (id, attempt) {
             (Some(_), Some((_, true))) => {}
             (Some(id), Some((None, false))) if self.calls.get(&id).is_some_and(|c| !c.answered) => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
                 call.answered = true;
                 self.unanswered -= 1;
-                call.standing = true;
+                call.established = true;
                 self.description_bytes -= call.description.bytes.len();
                 call.description = Description::default();
-                let Some(out) = &call.out else { return };
-                let (front, origin, server, copy) = (call.front, call.origin, out.server, out.copy);
-                let took = now - out.sent;
+                let Some(attempt) = &call.attempt else { return };
+                let (front, origin, server, index) = (call.front, call.origin, attempt.server, attempt.index);
+                let answer_time = now - attempt.sent_at;
                 metrics::CALLS_ANSWERED.increment();
-                tracing::debug!(call = %name, attempt = out.number, link = link.0, "stands");
+                tracing::debug!(call = %name, attempt = attempt.number, link = link.0, "call answered");
                 self.to_front(front, ToFront::Answer(origin, name, description));
-                self.tell(now, Event::Stands(id, server, copy, took));
+                self.dispatch(now, Event::Stands(id, server, index, answer_time));
             }
-            // Danger: an answer that crosses the give-up. The hub holds a call that nobody has; it is
-            // released there and never passed on. A give-up still to be written releases it as well.
-            _ if id.is_some() || self.ended.contains_key(&name) => {
+            // The answer crossed the give-up, or the call has ended. The hub holds a call without a caller,
+            // so the call is released there and the answer is not passed on. A give-up that is still to be
+            // written releases the call as well.
+            _ if id.is_some() || self.ended_calls.contains_key(&name) => {
                 self.to_hub(link, ToHub::Release(name, Cause::NORMAL));
             }
-            // An id that nobody knows comes ahead of what a hub has to say, and means nothing.
+            // An answer for an unknown call has no meaning and is ignored.
             _ => {}
         }
     }
 
-    /// A link saw an attempt end before its call stood.
-    fn over(&mut self, now: Micros, name: CallName, attempt: u64, seen: Seen) {
-        let Some((id, out)) = self.attempt(name, attempt) else { return };
-        let outcome = ends::outcome(seen, false, out.ending);
-        // One that stands is ended by its hub alone.
-        if self.calls.get(&id).is_some_and(|c| !c.standing) {
+    /// Handles the end of an attempt whose call was not established, as reported by its link.
+    fn handle_set_up_end(&mut self, now: Micros, name: CallName, number: u64, end: AttemptEnd) {
+        let Some((id, attempt)) = self.open_attempt(name, number) else { return };
+        let outcome = outcome::outcome_of(end, false, attempt.give_up_reason);
+        // Only the hub ends an established call.
+        if self.calls.get(&id).is_some_and(|c| !c.established) {
             self.end_attempt(now, id, outcome, false, Report::default());
         }
     }
 
-    /// Cuts the calls that stand at a hub whose process is over.
-    fn cut_standing(&mut self, now: Micros, link: LinkId, index: Option<usize>, why: &'static str) {
-        let cut = self.cut(now, link, |call| call.standing);
+    /// Releases the calls that were established at a hub whose process is dead or replaced.
+    fn cut_established_calls(&mut self, now: Micros, link: LinkId, index: Option<usize>, why: &'static str) {
+        let cut = self.end_attempts_at_link(now, link, |call| call.established);
         let hub = index.map_or("", |index| &*self.hubs[index].uid);
         if cut > 0 {
             tracing::info!(hub, link = link.0, why, cut, "calls cut");
         }
     }
 
-    /// What a hub had of these calls is over: its process is dead or gone. How many of them stood.
-    fn cut(&mut self, now: Micros, link: LinkId, which: impl Fn(&Call) -> bool) -> u64 {
+    /// Ends the selected attempts at a link whose hub process is dead or gone. Returns how many of their
+    /// calls were established.
+    fn end_attempts_at_link(&mut self, now: Micros, link: LinkId, which: impl Fn(&Call) -> bool) -> u64 {
         let mut cut = 0;
-        let at = self.at.range((link, CallId(0))..=(link, CallId(u64::MAX)));
-        let at: Vec<CallId> = at.map(|(_, id)| *id).collect();
-        for id in at {
+        let ids = self.calls_by_link.range((link, CallId(0))..=(link, CallId(u64::MAX)));
+        let ids: Vec<CallId> = ids.map(|(_, id)| *id).collect();
+        for id in ids {
             let Some(call) = self.calls.get(&id).filter(|c| which(c)) else { continue };
-            if call.standing {
+            if call.established {
                 let message = ToFront::Release(Some(call.origin), call.name, Cause::TEMPORARY_FAILURE);
                 self.to_front(call.front, message);
                 cut += 1;
             }
-            let outcome = ends::outcome(Seen::Lost, call.standing, call.out.as_ref().and_then(|o| o.ending));
+            let outcome = outcome::outcome_of(
+                AttemptEnd::ConnectionLost,
+                call.established,
+                call.attempt.as_ref().and_then(|o| o.give_up_reason),
+            );
             self.end_attempt(now, id, outcome, false, Report::default());
         }
         metrics::CALLS_CUT.add(cut);
         cut
     }
 
-    fn at_link(&self, link: LinkId, name: CallName) -> Option<(CallId, &Call)> {
-        let id = *self.by_name.get(&name)?;
+    fn call_at_link(&self, link: LinkId, name: CallName) -> Option<(CallId, &Call)> {
+        let id = *self.call_by_name.get(&name)?;
         let call = self.calls.get(&id)?;
-        call.out.as_ref().filter(|o| o.link == link).map(|_| (id, call))
+        call.attempt.as_ref().filter(|o| o.link == link).map(|_| (id, call))
     }
 
-    fn attempt(&self, name: CallName, number: u64) -> Option<(CallId, &Attempt)> {
-        let id = *self.by_name.get(&name)?;
-        let out = self.calls.get(&id)?.out.as_ref()?;
-        Some((id, out)).filter(|(_, o)| o.number == number)
+    fn open_attempt(&self, name: CallName, number: u64) -> Option<(CallId, &Attempt)> {
+        let id = *self.call_by_name.get(&name)?;
+        let attempt = self.calls.get(&id)?.attempt.as_ref()?;
+        Some((id, attempt)).filter(|(_, o)| o.number == number)
     }
 
     fn end_attempt(&mut self, now: Micros, id: CallId, outcome: Outcome, number_busy: bool, report: Report) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(out) = call.out.take() else { return };
-        self.at.remove(&(out.link, id));
-        call.standing = false;
+        let Some(attempt) = call.attempt.take() else { return };
+        self.calls_by_link.remove(&(attempt.link, id));
+        call.established = false;
         call.may_have_run |= !outcome.proves_unrun();
-        tracing::debug!(call = %call.name, attempt = out.number, link = out.link.0, ?outcome, "ended");
+        tracing::debug!(call = %call.name, attempt = attempt.number, link = attempt.link.0, ?outcome, "attempt ended");
         if outcome.awaits_release() {
             call.not_before = now + self.limits.release;
         }
         let end = End {
             id,
-            attempt: out.copy,
-            server: out.server,
+            attempt: attempt.index,
+            server: attempt.server,
             outcome,
             over: call.answered,
             number_busy,
             report,
         };
-        self.tell(now, Event::Ended(end));
-        self.drop_if_over(now, id);
+        self.dispatch(now, Event::Ended(end));
+        self.remove_call_if_over(now, id);
     }
 
-    fn give_up(&mut self, id: CallId, ending: Outcome) {
+    fn give_up(&mut self, id: CallId, reason: Outcome) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let name = call.name;
-        let Some(out) = call.out.as_mut().filter(|o| o.ending.is_none()) else { return };
-        out.ending = Some(ending);
-        tracing::debug!(call = %name, attempt = out.number, ?ending, "giving up");
-        let (link, number) = (out.link, out.number);
+        let Some(attempt) = call.attempt.as_mut().filter(|o| o.give_up_reason.is_none()) else { return };
+        attempt.give_up_reason = Some(reason);
+        tracing::debug!(call = %name, attempt = attempt.number, ending = ?reason, "giving up attempt");
+        let (link, number) = (attempt.link, attempt.number);
         self.to_hub(link, ToHub::GiveUp(name, number));
     }
 
-    fn drop_if_over(&mut self, now: Micros, id: CallId) {
-        if self.calls.get(&id).is_some_and(|c| c.answered && c.out.is_none()) {
+    fn remove_call_if_over(&mut self, now: Micros, id: CallId) {
+        if self.calls.get(&id).is_some_and(|c| c.answered && c.attempt.is_none()) {
             if let Some(call) = self.calls.remove(&id) {
                 self.description_bytes -= call.description.bytes.len();
-                self.by_name.remove(&call.name);
-                self.remember_ended(now, call.name);
+                self.call_by_name.remove(&call.name);
+                self.remember_ended_call(now, call.name);
             }
         }
     }
 
-    fn remember_ended(&mut self, now: Micros, name: CallName) {
-        self.ended.insert(name, now);
-        self.ended_by_age.push_back((name, now));
-        if self.ended_by_age.len() > ENDED_MOST {
-            self.forget_oldest();
+    fn remember_ended_call(&mut self, now: Micros, name: CallName) {
+        self.ended_calls.insert(name, now);
+        self.ended_calls_by_age.push_back((name, now));
+        if self.ended_calls_by_age.len() > MAX_ENDED_CALLS {
+            self.forget_oldest_ended_call();
         }
     }
 
-    fn forget_oldest(&mut self) {
-        if let Some((name, at)) = self.ended_by_age.pop_front() {
-            if self.ended.get(&name) == Some(&at) {
-                self.ended.remove(&name);
+    fn forget_oldest_ended_call(&mut self) {
+        if let Some((name, at)) = self.ended_calls_by_age.pop_front() {
+            if self.ended_calls.get(&name) == Some(&at) {
+                self.ended_calls.remove(&name);
             }
         }
     }
 
-    // ---- the list ----
+    // ---- hub list ----
 
-    /// Where that hub's state is. Danger: hubs are replaced for as long as the program runs; the state of
-    /// the one that has been gone longest makes room for a new one, which gets an id of its own.
-    fn hub(&mut self, hub: &Hub) -> Option<usize> {
-        if let Some(index) = self.by_uid.get(&*hub.uid) {
+    /// Returns the index of a hub's state and adds the hub if it is new. Hubs are replaced for as long as the
+    /// process runs, so the number of removed hubs must be bounded: at the limit a new hub takes over the
+    /// slot of the hub that was removed first, with an id of its own.
+    fn find_or_add_hub(&mut self, hub: &Hub) -> Option<usize> {
+        if let Some(index) = self.hub_by_uid.get(&*hub.uid) {
             return Some(*index);
         }
-        let oldest = self.gone.first().copied().filter(|_| self.gone.len() >= GONE_MOST);
-        if oldest.is_none() && self.hubs.len() >= HUBS_MOST {
+        let oldest =
+            self.removable_hubs.first().copied().filter(|_| self.removable_hubs.len() >= MAX_GONE_HUBS);
+        if oldest.is_none() && self.hubs.len() >= MAX_HUBS {
             return None;
         }
-        self.last_hub += 1;
+        self.last_hub_id += 1;
         let state = HubState {
-            id: ServerId(self.last_hub),
+            id: ServerId(self.last_hub_id),
             uid: hub.uid.as_str().into(),
             endpoint: hub.endpoint.as_str().into(),
             place: hub.place,
             born: hub.born,
             phase: Phase::Up,
-            told: None,
+            leaving_since: None,
             link: None,
-            heard: false,
-            fixed: false,
-            fresh: true,
-            named: 0,
+            reported: false,
+            configured: false,
+            newly_listed: true,
+            last_listed: 0,
         };
         let index = match oldest {
             Some(oldest) => {
-                self.gone.remove(&oldest);
+                self.removable_hubs.remove(&oldest);
                 let old = &self.hubs[oldest.1];
-                self.by_uid.remove(&old.uid);
-                self.by_id.remove(&old.id);
+                self.hub_by_uid.remove(&old.uid);
+                self.hub_by_id.remove(&old.id);
                 oldest.1
             }
             None => self.hubs.len(),
         };
-        self.by_uid.insert(state.uid.clone(), index);
-        self.by_id.insert(state.id, index);
+        self.hub_by_uid.insert(state.uid.clone(), index);
+        self.hub_by_id.insert(state.id, index);
         match oldest {
             Some(_) => self.hubs[index] = state,
             None => self.hubs.push(state),
@@ -837,14 +887,14 @@
         Some(index)
     }
 
-    fn list(&mut self, now: Micros, news: News) {
-        self.lists += 1;
-        self.seq = self.seq.max(news.seq);
-        let mut named: Vec<usize> = Vec::with_capacity(news.hubs.len());
-        for hub in &news.hubs {
-            let Some(index) = self.hub(hub) else { continue };
+    fn apply_hub_list(&mut self, now: Micros, update: HubListUpdate) {
+        self.update_count += 1;
+        self.seq = self.seq.max(update.seq);
+        let mut named: Vec<usize> = Vec::with_capacity(update.hubs.len());
+        for hub in &update.hubs {
+            let Some(index) = self.find_or_add_hub(hub) else { continue };
             let state = &mut self.hubs[index];
-            // A start or an address that differs is another process: what the old one had is cut.
+            // A different start time or address means another process: calls at the old one are cut.
             let other = state.born != hub.born && hub.phase == Phase::Up
                 || !hub.endpoint.is_empty() && *state.endpoint != *hub.endpoint;
             if !hub.endpoint.is_empty() {
@@ -853,20 +903,21 @@
             state.place = hub.place;
             state.born = hub.born.or(state.born.filter(|_| hub.phase != Phase::Up));
             if state.phase != hub.phase || other {
-                tracing::debug!(hub = %state.uid, phase = ?hub.phase, endpoint = %state.endpoint, other, "listed");
+                tracing::debug!(hub = %state.uid, phase = ?hub.phase, endpoint = %state.endpoint, other, "hub list entry changed");
             }
             state.phase = hub.phase;
-            state.named = self.lists;
+            state.last_listed = self.update_count;
             if other {
-                self.close(now, index);
+                self.close_link(now, index);
             }
             if hub.phase == Phase::Up && !hub.endpoint.is_empty() {
-                self.succeed(now, index, &mut named);
+                self.replace_predecessor(now, index, &mut named);
             }
             named.push(index);
         }
-        if news.all {
-            let absent = |h: &HubState| h.named != self.lists && !h.fixed && h.phase != Phase::Gone;
+        if update.full {
+            let absent =
+                |h: &HubState| h.last_listed != self.update_count && !h.configured && h.phase != Phase::Gone;
             let absent: Vec<usize> = (0..self.hubs.len()).filter(|i| absent(&self.hubs[*i])).collect();
             for index in absent {
                 self.hubs[index].phase = Phase::Gone;
@@ -876,86 +927,95 @@
         named.sort_unstable();
         named.dedup();
         for index in &named {
-            self.place(now, *index, news.told.min(now));
+            self.apply_phase(now, *index, update.effective_since.min(now));
         }
-        let entry =
-            |h: &HubState| Entry { server: h.id, place: h.place, phase: h.phase, born: h.born, told: h.told };
-        let (kind, entries) = match self.listed && !news.all {
+        let entry = |h: &HubState| Entry {
+            server: h.id,
+            place: h.place,
+            phase: h.phase,
+            born: h.born,
+            told: h.leaving_since,
+        };
+        let (kind, entries) = match self.full_list_received && !update.full {
             true => (ListKind::Changes, named.iter().map(|i| entry(&self.hubs[*i])).collect()),
             false => {
-                let kind = if news.all { ListKind::Full } else { ListKind::Saved };
+                let kind = if update.full { ListKind::Full } else { ListKind::Saved };
                 (kind, self.hubs.iter().filter(|h| h.phase != Phase::Gone).map(entry).collect())
             }
         };
-        self.listed |= news.all;
-        if self.memory.is_some() {
-            self.recall(now);
+        self.full_list_received |= update.full;
+        if self.restored.is_some() {
+            self.recall_new_hubs(now);
         }
-        self.tell(now, Event::List(kind, entries));
+        self.dispatch(now, Event::List(kind, entries));
     }
 
-    /// A hub that comes into service at an address succeeds whoever had it. Danger: the other's link, with its end
-    /// still to be told, would dial the new process, and take its words for the old one's.
-    fn succeed(&mut self, now: Micros, index: usize, named: &mut Vec<usize>) {
-        let old = self.linked.get(&self.hubs[index].endpoint).copied();
-        if let Some(old) = old.filter(|i| *i != index && !self.hubs[*i].fixed) {
-            tracing::debug!(hub = %self.hubs[old].uid, by = %self.hubs[index].uid, "succeeded");
+    /// Removes another hub that had the address of a hub that comes into service. The list may name the end
+    /// of the old hub only later; until then the old link would dial the new process and attribute its
+    /// messages to the old hub.
+    fn replace_predecessor(&mut self, now: Micros, index: usize, named: &mut Vec<usize>) {
+        let old = self.hub_by_endpoint.get(&self.hubs[index].endpoint).copied();
+        if let Some(old) = old.filter(|i| *i != index && !self.hubs[*i].configured) {
+            tracing::debug!(hub = %self.hubs[old].uid, by = %self.hubs[index].uid, "hub replaced by another at its address");
             self.hubs[old].phase = Phase::Gone;
-            self.close(now, old);
+            self.close_link(now, old);
             named.push(old);
         }
     }
 
-    /// Has a hub's link be as the hub's phase wants it; a phase that is new counts as told since `told`.
-    fn place(&mut self, now: Micros, index: usize, told: Micros) {
+    /// Opens, closes or restricts a hub's link according to its phase. If the phase is new, it takes effect
+    /// at `effective_since`.
+    fn apply_phase(&mut self, now: Micros, index: usize, effective_since: Micros) {
         if self.hubs[index].phase == Phase::Gone {
-            self.close(now, index);
+            self.close_link(now, index);
         }
         let state = &mut self.hubs[index];
         if state.phase == Phase::Up && state.link.is_none() {
-            self.last_link += 1;
-            let link = LinkId(self.last_link);
+            self.last_link_id += 1;
+            let link = LinkId(self.last_link_id);
             state.link = Some((link, (self.connect)(link, &state.endpoint)));
-            self.links.insert(link, index);
-            self.linked.insert(state.endpoint.clone(), index);
+            self.hub_by_link.insert(link, index);
+            self.hub_by_endpoint.insert(state.endpoint.clone(), index);
         }
-        let was = state.told;
-        state.told = match state.phase {
+        let previous = state.leaving_since;
+        state.leaving_since = match state.phase {
             Phase::Up => None,
-            _ => Some(was.unwrap_or(told)),
+            _ => Some(previous.unwrap_or(effective_since)),
         };
-        if was != state.told {
-            let message = ToHub::NotAfter(state.told.map(|t| t + self.limits.drain_grace));
+        if previous != state.leaving_since {
+            let message = ToHub::SetUpCutoff(state.leaving_since.map(|t| t + self.limits.drain_grace));
             if let Some(link) = state.link.as_ref().map(|l| l.0) {
                 self.to_hub(link, message);
             }
         }
-        if let Some(was) = was {
-            self.gone.remove(&(was, index));
+        if let Some(previous) = previous {
+            self.removable_hubs.remove(&(previous, index));
         }
         let state = &self.hubs[index];
-        if let Some(told) = state.told.filter(|_| state.forgettable()) {
-            self.gone.insert((told, index));
+        if let Some(since) = state.leaving_since.filter(|_| state.is_removable()) {
+            self.removable_hubs.insert((since, index));
         }
     }
 
-    fn close(&mut self, now: Micros, index: usize) {
+    fn close_link(&mut self, now: Micros, index: usize) {
         if let Some((link, sender)) = self.hubs[index].link.take() {
             let _ = sender.try_send(ToHub::Close);
-            self.links.remove(&link);
-            self.linked.retain(|_, i| *i != index);
-            self.closing.insert(link);
-            self.hubs[index].heard = false;
-            // What stood is over. Danger: a set-up is out until its connection is closed; the link says when.
+            self.hub_by_link.remove(&link);
+            self.hub_by_endpoint.retain(|_, i| *i != index);
+            self.closing_links.insert(link);
+            self.hubs[index].reported = false;
+            // Established calls end now. A set-up stays open until its connection is closed, which the link
+            // reports.
             let why = if self.hubs[index].phase == Phase::Gone { "gone" } else { "replaced" };
-            self.cut_standing(now, link, Some(index), why);
+            self.cut_established_calls(now, link, Some(index), why);
         }
     }
 
-    // ---- the module ----
+    // ---- decision module ----
 
-    /// Tells the module, and does what it says; what that leads to at once is told next.
-    fn tell(&mut self, now: Micros, event: Event) {
+    /// Passes an event to the decision module and carries out its actions. Events that result from the
+    /// actions are passed to it afterwards, in order.
+    fn dispatch(&mut self, now: Micros, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
@@ -963,15 +1023,15 @@
             for action in actions {
                 match action {
                     Action::Send(id, server, timeout) => {
-                        if !self.send(now, id, server, timeout) {
-                            let copy = self.calls.get_mut(&id).map_or(0, |c| {
-                                c.sent += 1;
-                                c.sent - 1
+                        if !self.start_attempt(now, id, server, timeout) {
+                            let index = self.calls.get_mut(&id).map_or(0, |c| {
+                                c.attempts_sent += 1;
+                                c.attempts_sent - 1
                             });
                             let over = self.calls.get(&id).is_none_or(|c| c.answered);
                             events.push_back(Event::Ended(End {
                                 id,
-                                attempt: copy,
+                                attempt: index,
                                 server,
                                 outcome: Outcome::Void,
                                 over,
@@ -980,44 +1040,46 @@
                             }));
                         }
                     }
-                    Action::Refuse(..) | Action::Fail(_) => self.finish(now, action),
-                    Action::Cancel(id, copy) => {
-                        let out = self.calls.get(&id).filter(|c| !c.standing).and_then(|c| c.out.as_ref());
-                        if out.is_some_and(|o| o.copy == copy) {
+                    Action::Refuse(..) | Action::Fail(_) => self.give_final_answer(now, action),
+                    Action::Cancel(id, index) => {
+                        let attempt =
+                            self.calls.get(&id).filter(|c| !c.established).and_then(|c| c.attempt.as_ref());
+                        if attempt.is_some_and(|o| o.index == index) {
                             self.give_up(id, Outcome::Withdrawn);
                         }
                     }
-                    Action::Timer(at, token) => self.wheel.add(at, Due::Module(token)),
-                    // Session controllers have no way to talk to each other, and the list comes unasked.
+                    Action::Timer(at, token) => self.timers.add(at, TimerEvent::Module(token)),
+                    // Session controllers cannot send each other these messages, and list changes arrive
+                    // without a subscription.
                     Action::Tell(..) | Action::Watch => {}
                 }
             }
         }
     }
 
-    /// Starts an attempt, unless a rule forbids it: the module's gate keeps the rules, and this
-    /// guards them against its bugs and against what happened while its decision was made.
-    fn send(&mut self, now: Micros, id: CallId, server: ServerId, timeout: Micros) -> bool {
-        let hub = self.by_id.get(&server).and_then(|i| self.hubs.get(*i));
+    /// Starts an attempt unless a rule forbids it. The decision module follows the rules itself; the checks
+    /// here protect against its bugs and against changes that happened while it decided.
+    fn start_attempt(&mut self, now: Micros, id: CallId, server: ServerId, timeout: Micros) -> bool {
+        let hub = self.hub_by_id.get(&server).and_then(|i| self.hubs.get(*i));
         let Some((hub, (link, sender))) = hub.and_then(|h| h.link.as_ref().map(|l| (h, l))) else {
             return false;
         };
         let Some(call) = self.calls.get_mut(&id) else { return false };
-        let drained = hub.told.is_some_and(|t| t + self.limits.drain_grace <= now);
+        let drained = hub.leaving_since.is_some_and(|t| t + self.limits.drain_grace <= now);
         let until = (now + timeout).min(call.deadline);
         if drained
             || call.answered
-            || call.out.is_some()
-            || call.once()
+            || call.attempt.is_some()
+            || call.must_not_repeat()
             || now < call.not_before
             || until <= now
-            || call.sent >= self.max_attempts
+            || call.attempts_sent >= self.max_attempts
         {
-            tracing::debug!(call = %call.name, hub = %hub.uid, drained, sent = call.sent, "not sent: a rule forbids it");
+            tracing::debug!(call = %call.name, hub = %hub.uid, drained, sent = call.attempts_sent, "attempt not sent: a rule forbids it");
             return false;
         }
-        self.last_attempt += 1;
-        let number = self.last_attempt;
+        self.last_attempt_number += 1;
+        let number = self.last_attempt_number;
         let set_up = SetUp {
             call: call.name,
             attempt: number,
@@ -1030,26 +1092,34 @@
             return false;
         }
         metrics::ATTEMPTS.increment();
-        metrics::RETRIES.add(u64::from(call.sent > 0));
-        tracing::debug!(call = %call.name, attempt = number, link = link.0, hub = %hub.uid, copy = call.sent, "sent");
-        call.out =
-            Some(Attempt { link: *link, server, copy: call.sent, number, sent: now, until, ending: None });
-        self.at.insert((*link, id));
-        call.sent += 1;
-        self.wheel.add(until, Due::Attempt(id, number));
+        metrics::RETRIES.add(u64::from(call.attempts_sent > 0));
+        tracing::debug!(call = %call.name, attempt = number, link = link.0, hub = %hub.uid, copy = call.attempts_sent, "attempt sent");
+        call.attempt = Some(Attempt {
+            link: *link,
+            server,
+            index: call.attempts_sent,
+            number,
+            sent_at: now,
+            times_out_at: until,
+            give_up_reason: None,
+        });
+        self.calls_by_link.insert((*link, id));
+        call.attempts_sent += 1;
+        self.timers.add(until, TimerEvent::Attempt(id, number));
         true
     }
 
-    /// Gives a final answer, once. Danger: 'refused' tells a caller that nothing ran, and that it may dial again.
-    fn finish(&mut self, now: Micros, action: Action) {
+    /// Gives a call its final answer, once. A refusal tells the caller that nothing ran and that it may dial
+    /// again, so a call that may have run and must not run twice is failed instead.
+    fn give_final_answer(&mut self, now: Micros, action: Action) {
         let (Action::Refuse(id, _) | Action::Fail(id)) = action else { return };
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
-        let open = call.effect != Effect::Free && call.out.is_some();
-        let action = if call.once() || open { Action::Fail(id) } else { action };
+        let open = call.effect != Effect::Free && call.attempt.is_some();
+        let action = if call.must_not_repeat() || open { Action::Fail(id) } else { action };
         call.answered = true;
         self.unanswered -= 1;
         let (front, origin, name) = (call.front, call.origin, call.name);
-        tracing::debug!(call = %name, refused = matches!(action, Action::Refuse(..)), "answered");
+        tracing::debug!(call = %name, refused = matches!(action, Action::Refuse(..)), "call ended without an answer");
         let message = match action {
             Action::Refuse(_, away) => {
                 metrics::CALLS_REFUSED.increment();
@@ -1062,79 +1132,82 @@
         };
         self.to_front(front, message);
         self.give_up(id, Outcome::Withdrawn);
-        self.drop_if_over(now, id);
+        self.remove_call_if_over(now, id);
     }
 
     fn to_front(&self, front: FrontId, message: ToFront) {
         let Some(sender) = self.fronts.get(front.0) else { return };
         if let Err(mpsc::error::TrySendError::Full(lost)) = sender.try_send(message) {
-            tracing::error!(front = front.0, "the front takes nothing, lost {lost:?}");
+            tracing::error!(front = front.0, "message queue of the front is full, dropped {lost:?}");
         }
     }
 
     fn to_hub(&self, link: LinkId, message: ToHub) {
-        let hub = self.links.get(&link).and_then(|i| self.hubs.get(*i));
+        let hub = self.hub_by_link.get(&link).and_then(|i| self.hubs.get(*i));
         let Some((_, sender)) = hub.and_then(|h| h.link.as_ref()) else { return };
         if let Err(mpsc::error::TrySendError::Full(lost)) = sender.try_send(message) {
-            tracing::error!(link = link.0, "the hub's link takes nothing, lost {lost:?}");
+            tracing::error!(link = link.0, "command queue of the hub link is full, dropped {lost:?}");
         }
     }
 }
 
-/// The number called, as the module knows it: its hex digits, or a hash of other text.
-fn number_of(text: &str) -> Option<u64> {
+/// Maps the number called to the key that the decision module uses: the value of its hexadecimal digits, or
+/// an FNV-1a hash of any other text.
+fn number_key(text: &str) -> Option<u64> {
     let hash = |t: &str| {
         t.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
     };
     Some(text).filter(|t| !t.is_empty()).map(|t| u64::from_str_radix(t, 16).unwrap_or_else(|_| hash(t)))
 }
 
-/// Danger: where the processor is short, a set-up may wait here while its caller leaves. Taken one by one, it
-/// would be sent on for nobody. Takes out the set-ups that are withdrawn later in the same turn, and puts the
-/// withdrawals first: those ahead of a new set-up of the same name stay there.
-fn skip_withdrawn(turn: &mut Vec<Input>) {
+/// Removes the set-ups that are withdrawn later in the same batch, and moves the withdrawals to the front. A
+/// withdrawal that precedes a new set-up of the same name stays ahead of it.
+///
+/// Under CPU load a set-up may wait in the queue while its caller leaves. Handled one by one, it would be
+/// sent to a hub although no caller waits for it.
+fn drop_withdrawn_offers(batch: &mut Vec<Input>) {
     let key = |front: FrontId, origin: Origin, call: CallName| (front.0, origin.0, call);
-    let mut gone = HashSet::new();
-    for input in turn.iter() {
+    let mut withdrawn = HashSet::new();
+    for input in batch.iter() {
         if let Input::Withdrawn(front, origin, call) = input {
-            gone.insert(key(*front, *origin, *call));
+            withdrawn.insert(key(*front, *origin, *call));
         }
     }
-    if gone.is_empty() {
+    if withdrawn.is_empty() {
         return;
     }
-    // From the last on: one that was withdrawn before, and comes again after that, stays.
-    let mut left = HashSet::new();
-    let mut keep: Vec<bool> = turn
+    // Iterates backwards, so that a set-up offered again after its withdrawal is kept.
+    let mut withdrawn_later = HashSet::new();
+    let mut keep: Vec<bool> = batch
         .iter()
         .rev()
         .map(|input| match input {
             Input::Withdrawn(front, origin, call) => {
-                left.insert(key(*front, *origin, *call));
+                withdrawn_later.insert(key(*front, *origin, *call));
                 true
             }
-            Input::Offer(o) => !left.remove(&key(o.front, o.origin, o.call)),
+            Input::Offer(o) => !withdrawn_later.remove(&key(o.front, o.origin, o.call)),
             _ => true,
         })
         .collect();
-    turn.retain(|_| keep.pop().unwrap_or(true));
-    // What else is in the turn may lead to a further attempt of a call that is withdrawn in it.
-    turn.sort_by_key(|input| !matches!(input, Input::Withdrawn(..)));
+    batch.retain(|_| keep.pop().unwrap_or(true));
+    // Another input of the batch could otherwise start a further attempt of a call that the batch withdraws.
+    batch.sort_by_key(|input| !matches!(input, Input::Withdrawn(..)));
 }
 
-/// Runs the core until every sender of its queue is gone.
+/// Runs the core until every sender of its queue is dropped.
 ///
-/// Danger: where the processor is short, a timer that is due is seen before the sockets are, and what came there long
-/// before would be handled after what the timer leads to. So the sockets are read before a tick, and all that waits is
-/// taken together, departures first.
+/// Under CPU load a due timer may be seen before the sockets are polled, and an input that arrived long
+/// before would be handled after the effects of the timer. So the sockets are read before a tick, and all
+/// waiting inputs are taken as one batch, withdrawals first.
 pub async fn run(mut core: Core, mut inputs: mpsc::Receiver<Input>, clock: Clock) {
-    let mut ticks = tokio::time::interval(Duration::from_micros(TICK.0));
+    let mut ticks = tokio::time::interval(Duration::from_micros(TICK_LENGTH.0));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut waiting = Vec::with_capacity(TURN);
+    let mut waiting = Vec::with_capacity(INPUTS_PER_TICK_CHECK);
     loop {
         let ticked = tokio::select! {
             _ = ticks.tick() => true,
-            count = inputs.recv_many(&mut waiting, QUEUE) => {
+            count = inputs.recv_many(&mut waiting, INPUT_QUEUE_CAPACITY) => {
                 if count == 0 {
                     return;
                 }
@@ -1142,16 +1215,16 @@
             }
         };
         if ticked {
-            // It goes on once the runtime has polled the sockets and run the tasks that these woke.
+            // Resumes after the runtime has polled the sockets and run the tasks that they woke.
             tokio::task::yield_now().await;
         }
-        while waiting.len() < QUEUE {
+        while waiting.len() < INPUT_QUEUE_CAPACITY {
             let Ok(input) = inputs.try_recv() else { break };
             waiting.push(input);
         }
-        skip_withdrawn(&mut waiting);
+        drop_withdrawn_offers(&mut waiting);
         for (number, input) in waiting.drain(..).enumerate() {
-            if number > 0 && number % TURN == 0 {
+            if number > 0 && number % INPUTS_PER_TICK_CHECK == 0 {
                 core.tick(clock.now());
             }
             core.handle(clock.now(), input);
--- a/tests/abandoned_calls.rs
+++ b/tests/abandoned_calls.rs
@@ -214,7 +214,7 @@
         hub.answer(&self.sent);
         let call = self.party.call;
         assert_eq!(status(self.party.caller.as_mut().expect("connected"), call), 200);
-        wait_for_log(program, "stands", call, 1);
+        wait_for_log(program, "call answered", call, 1);
     }
 }
 
@@ -489,7 +489,7 @@
     let at: Vec<Sent> = all.iter().map(|p| hubs[0].set_up(p.call, 1)).collect();
     earlier.answer(&program, &mut hubs[0]);
     at.iter().for_each(|sent| close_connection(&mut hubs[0], sent));
-    all.iter().for_each(|p| wait_for_log(&program, "ended", p.call, 1));
+    all.iter().for_each(|p| wait_for_log(&program, "attempt ended", p.call, 1));
     let ended = Instant::now();
     if stopped {
         program.pause();
@@ -550,7 +550,7 @@
         close_hub_connections(&program, &mut hubs[0]);
     }
     let before = usize::from(further);
-    all.iter().for_each(|p| wait_for_log(&program, "sent", p.call, before + 1));
+    all.iter().for_each(|p| wait_for_log(&program, "attempt sent", p.call, before + 1));
     if stopped.is_some() {
         program.pause();
     }
@@ -615,7 +615,7 @@
         // A progress message shows that a connection is alive: otherwise the program would open another one beside it.
         (0..2).for_each(|link| hub.say(link, PROGRESS, 0, &[]));
         filler.send("INVITE", last, &more, &body);
-        wait_for_log(program, "sent", last, 1);
+        wait_for_log(program, "attempt sent", last, 1);
         let end = Instant::now() + Duration::from_millis(200);
         while log_count(program, "begun", last) == 0 && Instant::now() < end {
             sleep(Duration::from_millis(5));
@@ -640,7 +640,7 @@
         let at: Vec<Sent> = all.iter().map(|p| hubs[1].set_up(p.call, 1)).collect();
         at.iter().for_each(|sent| refuse_as_full(&mut hubs[1], sent));
     }
-    all.iter().for_each(|p| wait_for_log(&program, "sent", p.call, before + 1));
+    all.iter().for_each(|p| wait_for_log(&program, "attempt sent", p.call, before + 1));
     if stopped {
         program.pause();
     }
--- a/tests/change_log_poller.rs
+++ b/tests/change_log_poller.rs
@@ -3,7 +3,7 @@
 #[path = "common/site.rs"]
 mod site;
 
-use petreldock::core::{Clock, Input, News};
+use petreldock::core::{Clock, HubListUpdate, Input};
 use petreldock::net::change_log_poller;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -73,10 +73,12 @@
     assert!(core.try_recv().is_err());
     complete.write_all(response.as_bytes()).await.expect("written");
     let input = timeout(TEST_TIMEOUT, core.recv()).await.expect("an input in time");
-    let Some(Input::List(News { all: false, hubs, told, .. })) = input else { panic!("{input:?}") };
+    let Some(Input::HubList(HubListUpdate { full: false, hubs, effective_since: told, .. })) = input else {
+        panic!("{input:?}")
+    };
     assert_eq!(hubs.len(), 1);
     assert!(told <= first_poll_at, "the event may have been published before the first failed poll");
-    assert!(matches!(timeout(TEST_TIMEOUT, core.recv()).await, Ok(Some(Input::Current))));
+    assert!(matches!(timeout(TEST_TIMEOUT, core.recv()).await, Ok(Some(Input::ChangeLogCurrent))));
     drop(complete);
     assert_eq!(accept_poll(&listener).await.1, 2);
 }
@@ -92,7 +94,7 @@
     assert!(text.contains("timeout=0 "), "{text}");
     let no_events = r#"{"seq":1,"results":[]}"#;
     stream.write_all(response(no_events).as_bytes()).await.expect("written");
-    assert!(matches!(timeout(TEST_TIMEOUT, core.recv()).await, Ok(Some(Input::Current))));
+    assert!(matches!(timeout(TEST_TIMEOUT, core.recv()).await, Ok(Some(Input::ChangeLogCurrent))));
     let text = read_request(&mut stream).await;
     assert!(!text.contains("timeout=0 "), "later polls request a hold: {text}");
     tokio::time::sleep(Duration::from_millis(400)).await;
@@ -101,6 +103,8 @@
     let held_response = response(&format!(r#"{{"seq":2,"results":[{event}]}}"#));
     stream.write_all(held_response.as_bytes()).await.expect("written");
     let input = timeout(TEST_TIMEOUT, core.recv()).await.expect("an input in time");
-    let Some(Input::List(News { told, .. })) = input else { panic!("{input:?}") };
+    let Some(Input::HubList(HubListUpdate { effective_since: told, .. })) = input else {
+        panic!("{input:?}")
+    };
     assert!(told >= held_until, "a response that was held back contains only new events");
 }
--- a/tests/shutdown_and_teardown.rs
+++ b/tests/shutdown_and_teardown.rs
@@ -378,7 +378,7 @@
         last += 1;
         let more = "Call-Kind: voice\r\nAnswer-Within: 90000\r\nRouting-Data: dest:0;width:1;via:-1\r\n";
         waits.send("INVITE", last, more, &body);
-        until("the call is assigned to the hub", || logged("sent", last).then_some(()));
+        until("the call is assigned to the hub", || logged("attempt sent", last).then_some(()));
         let sent_at = Instant::now();
         while !logged("begun", last) && sent_at.elapsed() < Duration::from_millis(200) {
             sleep(MILLISECOND);
@@ -391,12 +391,12 @@
     let mut disconnects = Caller::connect(program.address);
     for (caller, call) in [(&mut cancels, 0x2000), (&mut disconnects, 0x2001)] {
         caller.invite(call, 15_000, 0);
-        until("the call is assigned to the hub", || logged("sent", call).then_some(()));
+        until("the call is assigned to the hub", || logged("attempt sent", call).then_some(()));
     }
     cancels.send("CANCEL", 0x2000, "", b"");
     assert_eq!(status(&mut cancels, 0x2000), 487);
     drop(disconnects);
-    until("the disconnect is detected", || logged("giving up", 0x2001).then_some(()));
+    until("the disconnect is detected", || logged("giving up attempt", 0x2001).then_some(()));
     assert!(!logged("begun", 0x2000) && !logged("begun", 0x2001), "the two wait behind the others");
     // The hub reads. After the other set-ups each connection carries their give-ups, once their caller disconnects as
     // well; set-ups of the two calls would come before these.
--- a/tests/sip_server.rs
+++ b/tests/sip_server.rs
@@ -80,7 +80,7 @@
             assert!(call < 5_000, "the socket buffers never fill up");
             stream.write_all(request("INVITE", call).as_bytes()).expect("room");
             let offer = self.next_offer().await;
-            let description = Description { form: petreldock::net::SDP, bytes: bytes.clone() };
+            let description = Description { format: petreldock::net::SDP, bytes: bytes.clone() };
             let answer = ToFront::Answer(offer.origin, offer.call, description);
             self.answers.send(answer).await.expect("taken");
             let start = std::time::Instant::now();
--- a/tests/unresponsive_callers.rs
+++ b/tests/unresponsive_callers.rs
@@ -113,7 +113,7 @@
     async fn establish_call(&mut self, caller: &mut CallerConnection, call: u64, length: usize) -> Origin {
         caller.send(&request("INVITE", call));
         let offer = self.next_offer().await;
-        let description = Description { form: SDP, bytes: Bytes::from(vec![b'v'; length]) };
+        let description = Description { format: SDP, bytes: Bytes::from(vec![b'v'; length]) };
         let answer = ToFront::Answer(offer.origin, offer.call, description);
         self.answers.send(answer).await.expect("taken");
         offer.origin
