--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -32,7 +32,7 @@
         place: n as i64,
         phase: Phase::Up,
         born: None,
-        told: None,
+        phase_since: None,
     };
     let mut actions = Vec::new();
     controller.handle(
@@ -62,9 +62,16 @@
             _ => None,
         });
         let Some(server) = sent else { continue };
-        controller.handle(now, Event::Stands(id, server, 0, Micros(30_000)), &mut actions);
-        let end =
-            End { id, attempt: 0, server, outcome: Outcome::Success, over: true, number_busy: false, report };
+        controller.handle(now, Event::Established(id, server, 0, Micros(30_000)), &mut actions);
+        let end = AttemptEnd {
+            id,
+            attempt: 0,
+            server,
+            outcome: Outcome::Success,
+            over: true,
+            number_busy: false,
+            report,
+        };
         controller.handle(now, Event::Ended(end), &mut actions);
     }
     start.elapsed().as_nanos() as f64 / CALLS as f64
--- a/src/config.rs
+++ b/src/config.rs
@@ -198,14 +198,14 @@
             deadline: class.key("deadline").micros()?,
             worth: class.key("worth").or(1.0, At::number)?,
             late_worth: class.key("lateWorth").or(0.0, At::number)?,
-            effect: match class.key("idempotency").or("free", At::text)? {
-                "free" => Effect::Free,
-                "guarded" => Effect::Guarded,
+            idempotency: match class.key("idempotency").or("free", At::text)? {
+                "free" => Idempotency::Free,
+                "guarded" => Idempotency::Guarded,
                 // Danger: an effect that this version does not know may not bear a repeat.
-                _ => Effect::SingleShot,
+                _ => Idempotency::SingleShot,
             },
             places: places.iter().map(At::whole).collect::<Read<_>>()?,
-            hold: holds.get(i).map_or(Ok(Micros(0)), At::micros)?,
+            hold_time: holds.get(i).map_or(Ok(Micros(0)), At::micros)?,
         });
     }
     for name in root.key("report").key("names").or(Vec::new(), At::list)? {
@@ -223,8 +223,8 @@
         resend: info.key("resend").or(Micros(0), At::micros)?,
         max_attempts: limits.key("maxAttempts").or(1, At::count)?,
         may_cancel: limits.key("cancel").or(false, At::flag)?,
-        may_tell: limits.key("mayTell").or(false, At::flag)?,
-        max_stay_away: match limits.key("retryAfter").or(false, At::flag)? {
+        may_message_peers: limits.key("mayTell").or(false, At::flag)?,
+        max_retry_after: match limits.key("retryAfter").or(false, At::flag)? {
             true => limits.key("maxRetryAfter").or(Micros(0), At::micros)?,
             false => Micros(0),
         },
--- a/src/core/ends/tests.rs
+++ b/src/core/ends/tests.rs
@@ -29,13 +29,13 @@
     for (seen, before, after, may_have_run, pause) in rows {
         assert_eq!(outcome(seen, false, None), before, "{seen:?}");
         assert_eq!(outcome(seen, true, None), after, "{seen:?}");
-        assert_eq!(!before.proves_unrun(), may_have_run, "{seen:?}");
+        assert_eq!(!before.proves_never_ran(), may_have_run, "{seen:?}");
         assert_eq!(before.awaits_release(), pause, "{seen:?}");
     }
     for ending in [Outcome::TimedOut, Outcome::Withdrawn] {
         assert_eq!(outcome(Seen::GivenUp, false, Some(ending)), ending);
         assert_eq!(outcome(Seen::Lost, false, Some(ending)), ending, "what was decided first counts");
         assert_eq!(outcome(Seen::TakenBack, false, Some(ending)), Outcome::Unreachable);
-        assert!(ending.awaits_release() && !ending.proves_unrun());
+        assert!(ending.awaits_release() && !ending.proves_never_ran());
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -124,7 +124,7 @@
     origin: Origin,
     class: Arc<str>,
     /// What a repeat of it does at a hub.
-    effect: Effect,
+    effect: Idempotency,
     number: Arc<str>,
     description: Description,
     deadline: Micros,
@@ -141,7 +141,7 @@
 impl Call {
     /// Whether to have it run again, or to tell its caller that nothing ran, may do harm.
     fn once(&self) -> bool {
-        self.effect != Effect::Free && self.may_have_run
+        self.effect != Idempotency::Free && self.may_have_run
     }
 }
 
@@ -191,8 +191,8 @@
 pub struct Core {
     controller: Controller,
     names: Names,
-    /// Effect and deadline of each class.
-    classes: Vec<(Effect, Micros)>,
+    /// Idempotency and deadline of each class.
+    classes: Vec<(Idempotency, Micros)>,
     limits: Limits,
     max_attempts: u32,
     fronts: Vec<mpsc::Sender<ToFront>>,
@@ -250,7 +250,7 @@
         Ok(Core {
             controller: Controller::new(config.settings.clone(), config.seed, now)?,
             names: config.names.clone(),
-            classes: config.settings.classes.iter().map(|c| (c.effect, c.deadline)).collect(),
+            classes: config.settings.classes.iter().map(|c| (c.idempotency, c.deadline)).collect(),
             limits: config.limits.clone(),
             max_attempts: config.settings.max_attempts,
             fronts,
@@ -362,13 +362,13 @@
         let (hubs, controller) = (&self.hubs, &self.controller);
         let look = |i: usize| {
             let hub = hubs.get(i).filter(|h| h.phase != Phase::Gone)?;
-            Some(Kept { hub: hub.identity(), belief: controller.belief(hub.id)? })
+            Some(Kept { hub: hub.identity(), belief: controller.estimate(hub.id)? })
         };
         let painter = keeping.painter.get_or_insert_default();
         if let Some(mut gathered) = painter.add(hubs.len(), most, look) {
             let unnamed = self.memory.iter().flat_map(|m| m.unnamed(now)).cloned();
             gathered.extend(unnamed.take(HUBS_MOST.saturating_sub(hubs.len())));
-            let picture = Picture { at: now, hold: controller.hold(), hubs: gathered };
+            let picture = Picture { at: now, hold: controller.mean_hold_secs(), hubs: gathered };
             keeping.painter = None;
             keeping.next = now + keeping.every;
             keeping.pictures.send_replace(Some(Arc::new(picture)));
@@ -389,7 +389,7 @@
             self.memory = None;
         }
         if hold.is_some() || !recalled.is_empty() {
-            self.tell(now, Event::Recalled(hold, recalled));
+            self.tell(now, Event::Restored(hold, recalled));
         }
     }
 
@@ -417,7 +417,7 @@
                     let open: Vec<CallId> = open.collect();
                     for id in open {
                         self.finish(now, Action::Refuse(id, Micros(0)));
-                        self.tell(now, Event::Left(id));
+                        self.tell(now, Event::CallerLeft(id));
                     }
                 }
             }
@@ -519,7 +519,7 @@
         let Some(call) = self.calls.get_mut(&id).filter(|c| c.front == front && !c.answered) else { return };
         call.answered = true;
         self.unanswered -= 1;
-        self.tell(now, Event::Left(id));
+        self.tell(now, Event::CallerLeft(id));
         self.give_up(id, Outcome::Withdrawn);
         self.drop_if_over(now, id);
     }
@@ -641,7 +641,7 @@
         metrics::CALLS_FAILED.increment();
         tracing::debug!(call = %call.name, "failed: released without an answer");
         self.to_front(front, message);
-        self.tell(now, Event::Left(id));
+        self.tell(now, Event::CallerLeft(id));
     }
 
     fn probed(&mut self, now: Micros, index: Option<usize>, report: Report) {
@@ -670,7 +670,7 @@
                 metrics::CALLS_ANSWERED.increment();
                 tracing::debug!(call = %name, attempt = out.number, link = link.0, "stands");
                 self.to_front(front, ToFront::Answer(origin, name, description));
-                self.tell(now, Event::Stands(id, server, copy, took));
+                self.tell(now, Event::Established(id, server, copy, took));
             }
             // Danger: an answer that crosses the give-up. The hub holds a call that nobody has; it is
             // released there and never passed on. A give-up still to be written releases it as well.
@@ -737,12 +737,12 @@
         let Some(out) = call.out.take() else { return };
         self.at.remove(&(out.link, id));
         call.standing = false;
-        call.may_have_run |= !outcome.proves_unrun();
+        call.may_have_run |= !outcome.proves_never_ran();
         tracing::debug!(call = %call.name, attempt = out.number, link = out.link.0, ?outcome, "ended");
         if outcome.awaits_release() {
             call.not_before = now + self.limits.release;
         }
-        let end = End {
+        let end = AttemptEnd {
             id,
             attempt: out.copy,
             server: out.server,
@@ -878,8 +878,13 @@
         for index in &named {
             self.place(now, *index, news.told.min(now));
         }
-        let entry =
-            |h: &HubState| Entry { server: h.id, place: h.place, phase: h.phase, born: h.born, told: h.told };
+        let entry = |h: &HubState| Entry {
+            server: h.id,
+            place: h.place,
+            phase: h.phase,
+            born: h.born,
+            phase_since: h.told,
+        };
         let (kind, entries) = match self.listed && !news.all {
             true => (ListKind::Changes, named.iter().map(|i| entry(&self.hubs[*i])).collect()),
             false => {
@@ -969,7 +974,7 @@
                                 c.sent - 1
                             });
                             let over = self.calls.get(&id).is_none_or(|c| c.answered);
-                            events.push_back(Event::Ended(End {
+                            events.push_back(Event::Ended(AttemptEnd {
                                 id,
                                 attempt: copy,
                                 server,
@@ -989,7 +994,7 @@
                     }
                     Action::Timer(at, token) => self.wheel.add(at, Due::Module(token)),
                     // Session controllers have no way to talk to each other, and the list comes unasked.
-                    Action::Tell(..) | Action::Watch => {}
+                    Action::SendToPeer(..) | Action::Subscribe => {}
                 }
             }
         }
@@ -1044,7 +1049,7 @@
     fn finish(&mut self, now: Micros, action: Action) {
         let (Action::Refuse(id, _) | Action::Fail(id)) = action else { return };
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
-        let open = call.effect != Effect::Free && call.out.is_some();
+        let open = call.effect != Idempotency::Free && call.out.is_some();
         let action = if call.once() || open { Action::Fail(id) } else { action };
         call.answered = true;
         self.unanswered -= 1;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -43,7 +43,7 @@
 
 /// What may be repeated once an attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats and refusals are free.
     Free,
     /// Repeats only where the effect is recognised.
@@ -64,11 +64,11 @@
     /// Share of the worth left when it stands later.
     pub late_worth: f64,
     /// What may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Places the class may use; empty means any.
     pub places: Vec<i64>,
     /// Mean length of a call.
-    pub hold: Micros,
+    pub hold_time: Micros,
 }
 
 /// What an instance is told at its start.
@@ -97,9 +97,9 @@
     /// Attempts may be called off.
     pub may_cancel: bool,
     /// Gateways may send each other messages.
-    pub may_tell: bool,
+    pub may_message_peers: bool,
     /// The longest stay-away that callers obey; nought: they get no such advice.
-    pub max_stay_away: Micros,
+    pub max_retry_after: Micros,
     /// This gateway's number among them.
     pub index: u32,
     /// Changes of the list come only to subscribers.
@@ -114,7 +114,7 @@
     /// There is no class.
     NoClasses,
     /// A count that must be at least one is nought.
-    Nought(&'static str),
+    Zero(&'static str),
     /// A number lies outside its range.
     OutOfRange(&'static str),
 }
@@ -123,7 +123,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SettingsError::NoClasses => write!(f, "settings name no call class"),
-            SettingsError::Nought(what) => write!(f, "{what} must be at least 1"),
+            SettingsError::Zero(what) => write!(f, "{what} must be at least 1"),
             SettingsError::OutOfRange(what) => write!(f, "{what} is out of range"),
         }
     }
@@ -152,7 +152,7 @@
 
 impl Report {
     /// Whether any figure is told that a share comes from.
-    pub fn has_figure(&self) -> bool {
+    pub fn has_load_figure(&self) -> bool {
         self.hold_back.or(self.utilisation).or(self.queue).is_some() || self.wait.is_some()
     }
 }
@@ -180,7 +180,7 @@
     /// Its latest start; `None`: long ago.
     pub born: Option<Micros>,
     /// Since when its phase counts as told, at the earliest; `None`: from now on.
-    pub told: Option<Micros>,
+    pub phase_since: Option<Micros>,
 }
 
 /// What kind of news a list is.
@@ -221,7 +221,7 @@
 
 impl Outcome {
     /// Whether it proves that the set-up never ran.
-    pub fn proves_unrun(self) -> bool {
+    pub fn proves_never_ran(self) -> bool {
         matches!(self, Outcome::Overloaded | Outcome::ProcessorFull | Outcome::Unreachable | Outcome::Void)
     }
 
@@ -254,7 +254,7 @@
 
 /// How an attempt ended, and what was told with it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct End {
+pub struct AttemptEnd {
     /// Which call.
     pub id: CallId,
     /// Which attempt.
@@ -274,7 +274,7 @@
 /// What is believed of a server that may be worth something to the next start. Nought stands for what is
 /// not known, but for `weight` and `pass`, where 1 does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Belief {
+pub struct ServerEstimate {
     /// When it was last heard of; what follows is as old.
     pub heard: Micros,
     /// The most calls a second it was seen to carry, warm, for all gateways.
@@ -301,10 +301,10 @@
     pub cold_until: Micros,
 }
 
-impl Default for Belief {
-    fn default() -> Belief {
+impl Default for ServerEstimate {
+    fn default() -> ServerEstimate {
         let none = Micros(0);
-        Belief {
+        ServerEstimate {
             heard: none,
             carried: 0.0,
             carries: 0.0,
@@ -326,23 +326,23 @@
 pub enum Event {
     /// What was known before the start: the mean length of a call, in seconds, if any, and of servers that
     /// the next list names for the first time.
-    Recalled(Option<f64>, Vec<(ServerId, Belief)>),
+    Restored(Option<f64>, Vec<(ServerId, ServerEstimate)>),
     /// News of the list.
     List(ListKind, Vec<Entry>),
     /// A new call.
     Call(NewCall),
     /// An attempt's call stands: call, server, attempt, time since the send.
-    Stands(CallId, ServerId, u32, Micros),
+    Established(CallId, ServerId, u32, Micros),
     /// An attempt ended.
-    Ended(End),
+    Ended(AttemptEnd),
     /// The caller left.
-    Left(CallId),
+    CallerLeft(CallId),
     /// A timer is due.
     Timer(u64),
     /// A probe's answer, or news of lines that nobody asked for.
     Probed(ServerId, Outcome, Report),
     /// A message of a fellow gateway.
-    Peer(u32, Vec<u8>),
+    PeerMessage(u32, Vec<u8>),
 }
 
 /// What an instance does.
@@ -359,7 +359,7 @@
     /// Wake the instance at this time with this token.
     Timer(Micros, u64),
     /// Tell a fellow gateway something.
-    Tell(u32, Vec<u8>),
+    SendToPeer(u32, Vec<u8>),
     /// Subscribe to the list.
-    Watch,
+    Subscribe,
 }
--- a/src/learning/form.rs
+++ b/src/learning/form.rs
@@ -2,7 +2,7 @@
 //! a step from the one before; what stands is not touched. `docs/FORMAT.md` describes each.
 
 use super::{Identity, Kept, Picture};
-use crate::interface::{Belief, Micros};
+use crate::interface::{Micros, ServerEstimate};
 use miniserde::{json, Deserialize, Serialize};
 
 /// The kind of these snapshots.
@@ -129,7 +129,7 @@
                 place: h.place,
                 born: h.born.map(Micros),
             };
-            let belief = Belief {
+            let belief = ServerEstimate {
                 carried: h.carried,
                 heard: Micros(h.heard),
                 carries: h.carries,
--- a/src/learning/mod.rs
+++ b/src/learning/mod.rs
@@ -8,7 +8,7 @@
 
 pub use form::{decode, encode, KIND, VERSION};
 
-use crate::interface::{Belief, Micros};
+use crate::interface::{Micros, ServerEstimate};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -44,7 +44,7 @@
     /// Of which process.
     pub hub: Identity,
     /// What was believed of it.
-    pub belief: Belief,
+    pub belief: ServerEstimate,
 }
 
 /// All that is kept, as of one moment.
@@ -104,7 +104,7 @@
 }
 
 /// Whether no figure of a belief is absurd.
-fn sane(belief: &Belief) -> bool {
+fn sane(belief: &ServerEstimate) -> bool {
     let rate = |r: f64| (0.0..=RATE_MOST).contains(&r);
     let part = |p: f64| (0.0..=1.0).contains(&p);
     rate(belief.carried)
@@ -118,11 +118,11 @@
 }
 
 /// What a belief of that age is still worth: each figure is moved towards what a start without it takes.
-fn aged(belief: &Belief, age: Micros, now: Micros, by: &Ageing) -> Belief {
+fn aged(belief: &ServerEstimate, age: Micros, now: Micros, by: &Ageing) -> ServerEstimate {
     let (load, rate) = (counts(age, by.load), counts(age, by.rate));
     let towards_one = |figure: f64| 1.0 - (1.0 - figure) * load;
     let while_sure = |figure: f64, sure: f64| if sure >= COUNTS_LEAST { figure } else { 0.0 };
-    Belief {
+    ServerEstimate {
         carried: while_sure(belief.carried, counts(age, by.capacity)),
         heard: belief.heard,
         carries: while_sure(belief.carries, rate),
@@ -198,7 +198,7 @@
     /// What was known of a hub that a list names for the first time since the start, once, and for the same
     /// process alone. Danger: one with another start is cold, and one with another address or place is another
     /// machine; what theirs could carry would push them over.
-    pub fn recall(&mut self, hub: &Identity, now: Micros) -> Option<Belief> {
+    pub fn recall(&mut self, hub: &Identity, now: Micros) -> Option<ServerEstimate> {
         let kept = self.hubs.remove(&hub.uid).filter(|kept| kept.hub == *hub)?;
         // Danger: what was itself recalled, and not heard of since, must not grow young by being kept again.
         let age = age(kept.belief.heard, now).filter(|age| *age <= self.ageing.greatest)?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -20,17 +20,17 @@
 //!     balancers: 2,
 //!     classes: vec![Class {
 //!         objective: Micros(1_000_000), deadline: Micros(6_000_000), worth: 1.0, late_worth: 0.2,
-//!         effect: Effect::Free, places: vec![], hold: Micros(8_000_000),
+//!         idempotency: Idempotency::Free, places: vec![], hold_time: Micros(8_000_000),
 //!     }],
 //!     cold_from: 0.4, warm_up: Micros(10_000_000),
 //!     overload_factor: 3.0, overload_for: Micros(1_500_000), drain_grace: Micros(2_000_000), release: Micros(300_000),
 //!     resend: Micros(0), max_attempts: 4, may_cancel: true,
-//!     max_stay_away: Micros(0), may_tell: false, index: 0, must_subscribe: false,
+//!     max_retry_after: Micros(0), may_message_peers: false, index: 0, must_subscribe: false,
 //!     own_place: None,
 //! };
 //! let mut actions = Vec::new();
 //! let mut gateway = Controller::new(settings, 7, Micros(0))?;
-//! let entry = Entry { server: ServerId(40), place: 0, phase: Phase::Up, born: None, told: None };
+//! let entry = Entry { server: ServerId(40), place: 0, phase: Phase::Up, born: None, phase_since: None };
 //! gateway.handle(Micros(0), Event::List(ListKind::Saved, vec![entry]), &mut actions);
 //! let call = NewCall {
 //!     id: CallId(1), class: 0, place: 0, number: None, deadline: Micros(3_000_000),
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -103,7 +103,7 @@
             other => return Err(format!("entry: expected a known phase, found '{}'", clip(other))),
         },
         born: Some(line.number_or("born", 0)?).filter(|b| *b > 0).map(Micros),
-        told: None,
+        phase_since: None,
     })
 }
 
@@ -174,8 +174,8 @@
                 transit: line.flag("transit")?,
             })
         }
-        "established" => Event::Stands(id()?, server()?, copy()?, Micros(line.number("took")?)),
-        "done" => Event::Ended(End {
+        "established" => Event::Established(id()?, server()?, copy()?, Micros(line.number("took")?)),
+        "done" => Event::Ended(AttemptEnd {
             id: id()?,
             attempt: copy()?,
             server: server()?,
@@ -184,14 +184,14 @@
             number_busy: line.number_or("note", 0)? % 16 == 4,
             report: report(line, names)?,
         }),
-        "dropped" => Event::Left(id()?),
+        "dropped" => Event::CallerLeft(id()?),
         "tick_due" => Event::Timer(line.number("mark")?),
         "echo" => Event::Probed(server()?, outcome(line)?, report(line, names)?),
         "inbox" => {
             let from = line.number("from")?;
             let from =
                 u32::try_from(from).map_err(|_| "inbox: expected a small number in 'from'".to_string())?;
-            Event::Peer(from, hex(line.need("msg")?)?)
+            Event::PeerMessage(from, hex(line.need("msg")?)?)
         }
         _ => return Ok(None),
     }))
@@ -218,11 +218,11 @@
         Action::Fail(id) => writeln!(out, "end_failed handle={}", id.0),
         Action::Cancel(id, attempt) => writeln!(out, "undo_send handle={} copy={attempt}", id.0),
         Action::Timer(at, token) => writeln!(out, "after alarmTime={} mark={token}", at.0),
-        Action::Tell(peer, bytes) => {
+        Action::SendToPeer(peer, bytes) => {
             let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
             writeln!(out, "notify whom={peer} msg={hex}")
         }
-        Action::Watch => writeln!(out, "watch on=1"),
+        Action::Subscribe => writeln!(out, "watch on=1"),
     };
     done.expect("writing to a string does not fail");
 }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -110,8 +110,8 @@
         let base = settings();
         let class =
             Class { objective: Micros(2 * SECOND), deadline: Micros(9 * SECOND), ..base.classes[0].clone() };
-        let short = Class { hold: Micros(7_700_000), ..class.clone() };
-        let long = Class { hold: Micros(11_600_000), worth: 3.0, objective: Micros(1_500_000), ..class };
+        let short = Class { hold_time: Micros(7_700_000), ..class.clone() };
+        let long = Class { hold_time: Micros(11_600_000), worth: 3.0, objective: Micros(1_500_000), ..class };
         Settings {
             balancers: self.balancers,
             classes: vec![short, long],
@@ -122,7 +122,7 @@
             release: Micros(200_000),
             resend: Micros(self.resend),
             max_attempts: 6,
-            max_stay_away: Micros(2 * SECOND),
+            max_retry_after: Micros(2 * SECOND),
             index,
             ..base
         }
@@ -440,7 +440,7 @@
                 let after = at.0.saturating_sub(self.now);
                 self.plan_in(after, Step::Tell(controller, Event::Timer(token)));
             }
-            Action::Tell(..) | Action::Watch => {}
+            Action::SendToPeer(..) | Action::Subscribe => {}
         }
     }
 
@@ -469,7 +469,7 @@
         let cut = outcome == Outcome::Unreachable || self.hubs[out.hub as usize].run != out.run;
         let report = if cut { Report::default() } else { self.report(out.hub) };
         let server = ServerId(out.hub);
-        let end = End { id: CallId(id), attempt, server, outcome, over, number_busy: false, report };
+        let end = AttemptEnd { id: CallId(id), attempt, server, outcome, over, number_busy: false, report };
         self.forget(id);
         self.tell(controller, Event::Ended(end));
     }
@@ -623,11 +623,11 @@
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
         let Some(out) = call.out.get_mut(&attempt) else { return };
         out.stands = true;
-        let mean = self.set.classes[call.class].hold.secs();
+        let mean = self.set.classes[call.class].hold_time.secs();
         self.hubs[hub as usize].taken += 1;
         self.verdict.stood += 1;
         let took = Micros(self.now + 2 * LATENCY - arrived);
-        let stands = Event::Stands(CallId(id), ServerId(hub), attempt, took);
+        let stands = Event::Established(CallId(id), ServerId(hub), attempt, took);
         self.tell(controller, stands);
         let lasts = self.exponential(mean);
         self.plan_in(lasts, Step::Hangs { hub, run, call: Some((id, attempt)) });
@@ -705,7 +705,7 @@
     }
 
     fn mean_hold(&self) -> f64 {
-        let holds: f64 = self.set.classes.iter().map(|c| c.hold.secs()).sum();
+        let holds: f64 = self.set.classes.iter().map(|c| c.hold_time.secs()).sum();
         holds / self.set.classes.len() as f64
     }
 
@@ -758,7 +758,7 @@
 }
 
 fn entry(server: u64, place: i64, phase: Phase, born: Option<u64>) -> Entry {
-    Entry { server: ServerId(server), place, phase, born: born.map(Micros), told: None }
+    Entry { server: ServerId(server), place, phase, born: born.map(Micros), phase_since: None }
 }
 
 // ---- the rule ----
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,9 +8,9 @@
         deadline: Micros(6_000_000),
         worth: 1.0,
         late_worth: 0.2,
-        effect: Effect::Free,
+        idempotency: Idempotency::Free,
         places: vec![],
-        hold: Micros(8_000_000),
+        hold_time: Micros(8_000_000),
     };
     Settings {
         balancers: 2,
@@ -24,8 +24,8 @@
         resend: Micros(0),
         max_attempts: 4,
         may_cancel: true,
-        may_tell: false,
-        max_stay_away: Micros(0),
+        may_message_peers: false,
+        max_retry_after: Micros(0),
         index: 0,
         must_subscribe: false,
         own_place: None,
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -360,10 +360,10 @@
         (FromHub::Broken(CallName(1), attempt), true, true),
         (given_up(true), true, true),
     ];
-    for effect in [Effect::Free, Effect::Guarded, Effect::SingleShot] {
+    for effect in [Idempotency::Free, Idempotency::Guarded, Idempotency::SingleShot] {
         for (end, ran, pause) in &ends {
             let case = format!("{effect:?}, {end:?}");
-            let mut desk = Desk::with(|config| config.settings.classes[0].effect = effect);
+            let mut desk = Desk::with(|config| config.settings.classes[0].idempotency = effect);
             desk.offer(1, 0);
             assert_eq!(desk.set_up(0), Some(attempt), "{case}");
             desk.hear(0, end.clone());
@@ -371,7 +371,7 @@
             let at_once = desk.set_up(0).or(desk.set_up(1)).is_some();
             desk.pass(20_000);
             let later = desk.set_up(0).or(desk.set_up(1)).is_some();
-            let again = effect == Effect::Free || !ran;
+            let again = effect == Idempotency::Free || !ran;
             assert_eq!((at_once, later), (again && !pause, again && *pause), "{case}");
             if !again {
                 assert!(matches!(desk.said(), Some(ToFront::Fail(..))), "{case}: it may have run");
@@ -381,7 +381,7 @@
         // Moot, or too late for its first byte: nothing ran, and it may be refused.
         for end in [released(102, Note::None), FromHub::NotSent(CallName(1), attempt)] {
             let late = matches!(end, FromHub::NotSent(..));
-            let mut desk = Desk::with(|config| config.settings.classes[0].effect = effect);
+            let mut desk = Desk::with(|config| config.settings.classes[0].idempotency = effect);
             desk.offer(1, 0);
             desk.now += if late { 3 * SECOND } else { 0 };
             desk.hear(0, end);
@@ -544,7 +544,12 @@
 
 fn kept(uid: &str, endpoint: &str, place: i64) -> Kept {
     let hub = Identity { uid: uid.into(), endpoint: endpoint.into(), place, born: None };
-    let belief = Belief { heard: Micros(START - SECOND), pass: 0.1, carries: 3.0, ..Belief::default() };
+    let belief = ServerEstimate {
+        heard: Micros(START - SECOND),
+        pass: 0.1,
+        carries: 3.0,
+        ..ServerEstimate::default()
+    };
     Kept { hub, belief }
 }
 
@@ -620,8 +625,10 @@
 
 #[test]
 fn what_may_have_run_is_not_refused_nor_sent_again_unless_its_class_bears_it() {
-    for (effect, refused) in [(Effect::Free, true), (Effect::Guarded, false), (Effect::SingleShot, false)] {
-        let mut desk = Desk::with(|config| config.settings.classes[0].effect = effect);
+    for (effect, refused) in
+        [(Idempotency::Free, true), (Idempotency::Guarded, false), (Idempotency::SingleShot, false)]
+    {
+        let mut desk = Desk::with(|config| config.settings.classes[0].idempotency = effect);
         for call in [1, 2] {
             desk.offer(call, 0);
         }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -49,7 +49,7 @@
     /// A call that is answered at once, so that nothing stays out.
     fn dial_and_stand(&mut self, place: i64) -> Option<u64> {
         let to = self.dial(place)?;
-        self.tell(Event::Stands(CallId(self.next), ServerId(to), 0, Micros(40_000)));
+        self.tell(Event::Established(CallId(self.next), ServerId(to), 0, Micros(40_000)));
         Some(to)
     }
 
@@ -59,7 +59,7 @@
 
     fn end(&mut self, id: u64, server: u64, outcome: Outcome) -> Vec<Action> {
         let (id, server, report) = (CallId(id), ServerId(server), Report::default());
-        self.tell(Event::Ended(End {
+        self.tell(Event::Ended(AttemptEnd {
             id,
             attempt: 0,
             server,
@@ -87,7 +87,7 @@
 
 fn entry(server: u64, phase: Phase, born: u64) -> Entry {
     let born = Some(Micros(born)).filter(|b| b.0 > 0);
-    Entry { server: ServerId(server), place: server as i64, phase, born, told: None }
+    Entry { server: ServerId(server), place: server as i64, phase, born, phase_since: None }
 }
 
 fn sent(actions: &[Action]) -> Option<u64> {
@@ -170,7 +170,7 @@
         let to = desk.call(NewCall { class, deadline, ..new_call(desk.next, 0) });
         held[class] += u32::from(to != Some(0));
         if let Some(to) = to {
-            desk.tell(Event::Stands(CallId(desk.next), ServerId(to), 0, Micros(40_000)));
+            desk.tell(Event::Established(CallId(desk.next), ServerId(to), 0, Micros(40_000)));
         }
     }
     assert_eq!(held[1], 0, "worth five times as much");
@@ -184,7 +184,7 @@
     for _ in 0..40 {
         desk.now += 10_000;
         desk.dial(1);
-        desk.tell(Event::Stands(CallId(desk.next), ServerId(1), 0, Micros(900_000)));
+        desk.tell(Event::Established(CallId(desk.next), ServerId(1), 0, Micros(900_000)));
     }
     desk.report(0, share(1.0));
     let to_slow = (0..100)
@@ -256,8 +256,8 @@
     for (earlier, takes) in [(SECOND, true), (2 * SECOND, false)] {
         let mut desk = Desk::new(2);
         desk.now += 5 * SECOND;
-        let told = Some(Micros(desk.now - earlier));
-        let drains = Entry { told, ..entry(0, Phase::Draining, 0) };
+        let phase_since = Some(Micros(desk.now - earlier));
+        let drains = Entry { phase_since, ..entry(0, Phase::Draining, 0) };
         desk.tell(Event::List(ListKind::Changes, vec![drains]));
         desk.report(1, share(1.0));
         assert_eq!(desk.dial(0).is_some(), takes, "told {earlier} µs earlier");
@@ -344,7 +344,7 @@
 #[test]
 fn single_shot_calls_are_not_sent_twice() {
     let mut set = settings();
-    set.classes.iter_mut().for_each(|c| c.effect = Effect::SingleShot);
+    set.classes.iter_mut().for_each(|c| c.idempotency = Idempotency::SingleShot);
     let mut desk = Desk::with(set, 2);
     desk.dial(0);
     desk.end(1, 0, Outcome::TimedOut);
@@ -386,7 +386,7 @@
             desk.now += 20_000;
             let to = desk.dial(0);
             if to == Some(1) {
-                desk.tell(Event::Stands(CallId(desk.next), ServerId(1), 0, Micros(40_000)));
+                desk.tell(Event::Established(CallId(desk.next), ServerId(1), 0, Micros(40_000)));
             }
             to == Some(0)
         })
@@ -496,7 +496,7 @@
         if let Some(to) = desk.dial(0) {
             sends += u32::from(n >= 1500);
             if sends % 5 < 3 {
-                desk.tell(Event::Stands(CallId(desk.next), ServerId(to), 0, Micros(40_000)));
+                desk.tell(Event::Established(CallId(desk.next), ServerId(to), 0, Micros(40_000)));
             }
         }
     }
@@ -509,7 +509,7 @@
     for _ in 0..60 {
         desk.now += 250_000;
         desk.dial(0);
-        desk.tell(Event::Stands(CallId(desk.next), ServerId(0), 0, Micros(900_000)));
+        desk.tell(Event::Established(CallId(desk.next), ServerId(0), 0, Micros(900_000)));
     }
     assert_eq!(desk.reach_first(0, 10), 0, "slow answers alone raise the share to the full");
 }
@@ -529,7 +529,7 @@
 #[test]
 fn subscribed_lists_are_watched_and_asked_for_again() {
     let mut desk = Desk::with(Settings { must_subscribe: true, ..settings() }, 1);
-    assert_eq!(desk.tell(Event::List(ListKind::Failed, vec![])), vec![Action::Watch]);
+    assert_eq!(desk.tell(Event::List(ListKind::Failed, vec![])), vec![Action::Subscribe]);
     assert_eq!(desk.dial(0), Some(0), "the old list stands");
 }
 
@@ -549,7 +549,7 @@
 fn hopeless_waits_are_not_joined() {
     let mut desk = Desk::new(2);
     desk.dial(0);
-    desk.tell(Event::Stands(CallId(1), ServerId(0), 0, Micros(1_500_000)));
+    desk.tell(Event::Established(CallId(1), ServerId(0), 0, Micros(1_500_000)));
     desk.report(0, wait(700));
     assert_eq!(desk.dial(0), Some(1), "0.7 s of wait make 1.4 s of set-up, over the aim of 1 s");
 }
@@ -559,24 +559,24 @@
     let to = desk.dial(0).expect("sent");
     let (id, server, report) = (CallId(desk.next), ServerId(to), wait(ms));
     let (outcome, over, number_busy) = (Outcome::Success, true, false);
-    let end = End { id, attempt: 0, server, outcome, over, number_busy, report };
+    let end = AttemptEnd { id, attempt: 0, server, outcome, over, number_busy, report };
     let mut actions = desk.tell(Event::Ended(end));
-    actions.retain(|a| matches!(a, Action::Tell(..)));
+    actions.retain(|a| matches!(a, Action::SendToPeer(..)));
     actions
 }
 
 #[test]
 fn a_changed_wait_is_told_to_others_and_heard_by_them() {
-    let mut desk = Desk::with(Settings { balancers: 9, may_tell: true, index: 4, ..settings() }, 2);
+    let mut desk = Desk::with(Settings { balancers: 9, may_message_peers: true, index: 4, ..settings() }, 2);
     assert_eq!(told(&mut desk, 10), vec![], "no news");
     let messages = told(&mut desk, 700);
     assert!(!messages.is_empty());
     let mut other = Desk::new(2);
     assert_eq!(other.dial_and_stand(0), Some(0));
     for message in messages {
-        let Action::Tell(peer, bytes) = message else { continue };
+        let Action::SendToPeer(peer, bytes) = message else { continue };
         assert!(peer < 9 && peer != 4, "told to {peer}");
-        other.tell(Event::Peer(4, bytes));
+        other.tell(Event::PeerMessage(4, bytes));
     }
     assert_eq!(other.dial(0), Some(1), "no call can stand behind 0.7 s of wait");
     let mut alone = Desk::new(1);
@@ -587,15 +587,15 @@
 fn damaged_and_foreign_messages_are_ignored() {
     let mut desk = Desk::new(2);
     let mut foreign = vec![0, 0, 0, 77, 2, 188, 0, 5];
-    desk.tell(Event::Peer(1, foreign.clone()));
+    desk.tell(Event::PeerMessage(1, foreign.clone()));
     foreign[3] = 0;
     for n in (0..8).chain([9, 256]) {
         foreign.resize(n, 1);
-        desk.tell(Event::Peer(1, foreign.clone()));
+        desk.tell(Event::PeerMessage(1, foreign.clone()));
     }
-    desk.tell(Event::Peer(1, vec![0, 0, 0, 0, 255, 255, 0, 0]));
+    desk.tell(Event::PeerMessage(1, vec![0, 0, 0, 0, 255, 255, 0, 0]));
     assert_eq!(desk.reach_first(0, 50), 50, "short, long, foreign and absurd ones change nothing");
-    assert_eq!(desk.gateway.remembered().1, 2, "and name no server");
+    assert_eq!(desk.gateway.tracked_counts().1, 2, "and name no server");
 }
 
 #[test]
@@ -621,7 +621,7 @@
             sends += 1;
             let (id, server, report) = (CallId(id), ServerId(to), Report::default());
             let outcome = Outcome::Failure;
-            desk.tell(Event::Ended(End {
+            desk.tell(Event::Ended(AttemptEnd {
                 id,
                 attempt: 0,
                 server,
@@ -666,7 +666,7 @@
 fn settings_that_make_no_sense_are_refused() {
     let refused = |set: Settings| Controller::new(set, 1, Micros(0)).err();
     assert_eq!(refused(Settings { classes: vec![], ..settings() }), Some(SettingsError::NoClasses));
-    assert_eq!(refused(Settings { balancers: 0, ..settings() }), Some(SettingsError::Nought("balancers")));
+    assert_eq!(refused(Settings { balancers: 0, ..settings() }), Some(SettingsError::Zero("balancers")));
     for bad in [-0.1, 1.1, f64::NAN] {
         assert_eq!(
             refused(Settings { cold_from: bad, ..settings() }),
@@ -690,7 +690,7 @@
         deadline: Micros(desk.now + 3 * SECOND),
         ..new_call(id, 0)
     };
-    let mut desk = Desk::with(Settings { max_stay_away: Micros(2 * SECOND), ..settings() }, 0);
+    let mut desk = Desk::with(Settings { max_retry_after: Micros(2 * SECOND), ..settings() }, 0);
     let first = asked(&desk, 1);
     let told = away(&mut desk, first);
     assert!(told > Micros(0) && told.0 < SECOND / 2, "{told:?} leaves room for a try within the aim");
@@ -707,15 +707,15 @@
 }
 
 /// A gateway that recalls something of server 0 before its first list.
-fn recalling(servers: u64, belief: Belief) -> Desk {
+fn recalling(servers: u64, belief: ServerEstimate) -> Desk {
     let gateway = Controller::new(settings(), 11, Micros(0)).expect("sane");
     let mut desk = Desk { gateway, now: 10 * SECOND, next: 0 };
-    desk.tell(Event::Recalled(Some(4.0), vec![(ServerId(0), belief)]));
+    desk.tell(Event::Restored(Some(4.0), vec![(ServerId(0), belief)]));
     desk.tell(Event::List(ListKind::Saved, (0..servers).map(|s| entry(s, Phase::Up, 0)).collect()));
     desk
 }
 
-const SLOW: Belief = Belief {
+const SLOW: ServerEstimate = ServerEstimate {
     heard: Micros(9 * SECOND),
     carried: 20.0,
     carries: 5.0,
@@ -738,16 +738,16 @@
 #[test]
 fn what_is_recalled_holds_back_from_the_first_call_on() {
     let mut desk = recalling(2, SLOW);
-    assert_eq!(desk.gateway.hold(), 4.0);
+    assert_eq!(desk.gateway.mean_hold_secs(), 4.0);
     let first = first_of_40(&mut desk);
     assert!((8..=12).contains(&first), "a quarter is let through: {first}");
     assert_eq!(first_of_40(&mut Desk::new(2)), 40, "which a start without it does not know");
-    assert_eq!(recalling(2, SLOW).gateway.belief(ServerId(0)).expect("known").heard, SLOW.heard);
+    assert_eq!(recalling(2, SLOW).gateway.estimate(ServerId(0)).expect("known").heard, SLOW.heard);
     // A later list that recalls nothing does not start the mean length of a call over.
-    let held = desk.gateway.hold();
-    desk.tell(Event::Recalled(None, vec![]));
+    let held = desk.gateway.mean_hold_secs();
+    desk.tell(Event::Restored(None, vec![]));
     desk.dial(0);
-    assert!(desk.gateway.hold() - held < 0.1, "{held} to {}", desk.gateway.hold());
+    assert!(desk.gateway.mean_hold_secs() - held < 0.1, "{held} to {}", desk.gateway.mean_hold_secs());
     // The draw of diverted calls goes by the recalled weight.
     let mut desk = recalling(3, SLOW);
     desk.report(2, share(1.0));
@@ -764,9 +764,9 @@
     desk.report(0, Report { can_take: Some(5.2), ..Report::default() });
     assert!(first_of_40(&mut desk) < 20, "it is as slow as it was");
     // One that was taken for dead gets one call, and all once that is answered.
-    let mut desk = recalling(2, Belief { silent: true, ..Belief::default() });
+    let mut desk = recalling(2, ServerEstimate { silent: true, ..ServerEstimate::default() });
     assert_eq!([desk.dial(0), desk.dial(0), desk.dial(0)], [Some(0), Some(1), Some(1)]);
-    desk.tell(Event::Stands(CallId(1), ServerId(0), 0, Micros(40_000)));
+    desk.tell(Event::Established(CallId(1), ServerId(0), 0, Micros(40_000)));
     assert_eq!(desk.dial(0), Some(0));
 }
 
@@ -774,11 +774,11 @@
 fn a_recalled_belief_brings_a_cold_server_no_more_than_a_told_one() {
     let lines = |size| Report { free: Some(size - 20.0), size: Some(size), ..Report::default() };
     let take = |rate| Report { can_take: Some(rate), ..lines(100.0) };
-    let sends = |recalled: Option<Belief>, told: Option<f64>| {
+    let sends = |recalled: Option<ServerEstimate>, told: Option<f64>| {
         let gateway = Controller::new(settings(), 11, Micros(0)).expect("sane");
         let mut desk = Desk { gateway, now: 10 * SECOND, next: 0 };
         let recalled = recalled.map(|b| (ServerId(0), b)).into_iter().collect();
-        desk.tell(Event::Recalled(None, recalled));
+        desk.tell(Event::Restored(None, recalled));
         let born = 9 * SECOND;
         desk.tell(Event::List(ListKind::Saved, vec![entry(0, Phase::Up, born), entry(1, Phase::Up, 0)]));
         desk.report(1, lines(100.0));
@@ -790,7 +790,13 @@
             })
             .count()
     };
-    let known = |can_take| Belief { carries: 1e6, can_take, pass: 1.0, weight: 1.0, ..Belief::default() };
+    let known = |can_take| ServerEstimate {
+        carries: 1e6,
+        can_take,
+        pass: 1.0,
+        weight: 1.0,
+        ..ServerEstimate::default()
+    };
     let without = sends(None, None);
     assert_eq!(sends(Some(known(0.0)), None), without, "a rate that it is held to carry counts for nothing");
     for rate in [1.0, 2.0, 5.0, 1e6] {
@@ -798,6 +804,6 @@
         assert!(recalled <= told, "{rate}: {recalled} sent where {told} are when it says so now");
     }
     // Taken for cold before the restart, it is taken for cold after it.
-    let cold = Belief { cold_until: Micros(20 * SECOND), ..Belief::default() };
+    let cold = ServerEstimate { cold_until: Micros(20 * SECOND), ..ServerEstimate::default() };
     assert!(recalling(1, cold).reach_first(0, 200) < 60);
 }
--- a/tests/learning.rs
+++ b/tests/learning.rs
@@ -1,6 +1,6 @@
 //! What is kept of beliefs: its form and old forms, how it ages, and whose it is.
 
-use petreldock::interface::{Belief, Micros};
+use petreldock::interface::{Micros, ServerEstimate};
 use petreldock::learning::{decode, encode, Ageing, Identity, Kept, Memory, Picture, HUBS_MOST, VERSION};
 use petreldock::store;
 use quickcheck::{Arbitrary, Gen};
@@ -12,8 +12,8 @@
     Identity { uid: uid.into(), endpoint: "10.0.0.1:1".into(), place: 2, born: None }
 }
 
-fn belief() -> Belief {
-    Belief {
+fn belief() -> ServerEstimate {
+    ServerEstimate {
         heard: AT,
         carried: 25.0,
         carries: 8.0,
@@ -35,7 +35,7 @@
 }
 
 /// What is recalled of a hub so many microseconds after it was kept.
-fn after(age: u64) -> Option<Belief> {
+fn after(age: u64) -> Option<ServerEstimate> {
     let now = AT + Micros(age);
     Memory::new(picture(&["a"]), Ageing::default(), now).0.recall(&identity("a"), now)
 }
@@ -135,7 +135,7 @@
 fn a_picture_comes_back_as_it_was() {
     let mut kept = picture(&["a", "b\"\\\u{e9}\n"]);
     kept.hubs[1].hub.born = Some(Micros(7));
-    kept.hubs[1].belief = Belief { carried: 0.1 + 0.2, ..Belief::default() };
+    kept.hubs[1].belief = ServerEstimate { carried: 0.1 + 0.2, ..ServerEstimate::default() };
     assert_eq!(decode(VERSION, &encode(&kept)), Ok(kept));
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -70,18 +70,19 @@
                 assert_eq!(self.calls[&id.0].out.map(|o| o.1), Some(attempt), "cancels what is out");
             }
             Action::Timer(at, token) => self.timers.push((at.0, token)),
-            Action::Tell(peer, bytes) => {
-                assert!(self.set.may_tell && peer < self.set.balancers && peer != self.set.index);
+            Action::SendToPeer(peer, bytes) => {
+                assert!(self.set.may_message_peers && peer < self.set.balancers && peer != self.set.index);
                 assert!(bytes.len() <= 256);
             }
-            Action::Watch => assert!(self.set.must_subscribe),
+            Action::Subscribe => assert!(self.set.must_subscribe),
         }
     }
 
     fn list(&mut self, server: u64, phase: Phase, born: u64) {
         self.up.insert(server, phase == Phase::Up);
         let born = Some(Micros(born)).filter(|b| b.0 > 0);
-        let entry = Entry { server: ServerId(server), place: (server % 3) as i64, phase, born, told: None };
+        let entry =
+            Entry { server: ServerId(server), place: (server % 3) as i64, phase, born, phase_since: None };
         self.tell(Event::List(ListKind::Changes, vec![entry]));
     }
 
@@ -114,7 +115,7 @@
         call.answered |= over;
         let (id, server) = (CallId(id), ServerId(server));
         let number_busy = outcome == Outcome::Failure;
-        self.tell(Event::Ended(End { id, attempt, server, outcome, over, number_busy, report }));
+        self.tell(Event::Ended(AttemptEnd { id, attempt, server, outcome, over, number_busy, report }));
     }
 
     fn stand(&mut self, pick: usize) {
@@ -128,7 +129,7 @@
         let call = self.calls.get_mut(&id).expect("waits");
         call.standing = true;
         let (server, attempt) = call.out.expect("is out");
-        self.tell(Event::Stands(CallId(id), ServerId(server), attempt, Micros(40_000)));
+        self.tell(Event::Established(CallId(id), ServerId(server), attempt, Micros(40_000)));
     }
 
     /// Passes time with every timer at its moment, and time-outs at the callers' deadlines.
@@ -205,7 +206,7 @@
     while world.calls.values().any(|c| c.out.is_some()) {
         world.end(0, Outcome::Success, Report::default());
     }
-    let (calls, servers, numbers) = world.gateway.remembered();
+    let (calls, servers, numbers) = world.gateway.tracked_counts();
     assert_eq!(calls, 0, "ended calls are forgotten");
     assert!(servers <= 6 && numbers <= 64);
 }
@@ -215,11 +216,11 @@
     let base = settings();
     let variants = [
         base.clone(),
-        Settings { balancers: 3, may_tell: true, index: 2, ..base.clone() },
+        Settings { balancers: 3, may_message_peers: true, index: 2, ..base.clone() },
         Settings {
             balancers: 1,
             max_attempts: 1,
-            may_tell: true,
+            may_message_peers: true,
             may_cancel: false,
             release: Micros(0),
             ..base.clone()
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -50,11 +50,11 @@
         })?;
         match answer {
             Some(Outcome::Success) => {
-                at.handle(now, Event::Stands(id, server, 0, Micros(40_000)), &mut actions)
+                at.handle(now, Event::Established(id, server, 0, Micros(40_000)), &mut actions)
             }
             Some(outcome) => {
                 let (over, number_busy, report) = (true, false, Report::default());
-                let end = End { id, attempt: 0, server, outcome, over, number_busy, report };
+                let end = AttemptEnd { id, attempt: 0, server, outcome, over, number_busy, report };
                 at.handle(now, Event::Ended(end), &mut actions);
             }
             None => {}
@@ -78,7 +78,7 @@
 }
 
 fn entry(server: u64, born: Option<Micros>) -> Entry {
-    Entry { server: ServerId(server), place: server as i64, phase: Phase::Up, born, told: None }
+    Entry { server: ServerId(server), place: server as i64, phase: Phase::Up, born, phase_since: None }
 }
 
 /// The most sends within any window of this length.
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -117,7 +117,7 @@
     let (id, server) = (CallId(4), ServerId(7));
     assert_eq!(
         event,
-        Event::Ended(End {
+        Event::Ended(AttemptEnd {
             id,
             attempt: 1,
             server,
@@ -128,7 +128,7 @@
         })
     );
     let line = Line::parse("inbox from=2 msg=6869").expect("legal");
-    assert_eq!(wire::event(&line, &names).expect("legal"), Some(Event::Peer(2, b"hi".to_vec())));
+    assert_eq!(wire::event(&line, &names).expect("legal"), Some(Event::PeerMessage(2, b"hi".to_vec())));
 }
 
 #[test]
@@ -139,8 +139,8 @@
         (Action::Fail(CallId(1)), "end_failed handle=1\n"),
         (Action::Cancel(CallId(1), 2), "undo_send handle=1 copy=2\n"),
         (Action::Timer(Micros(5), 6), "after alarmTime=5 mark=6\n"),
-        (Action::Tell(3, vec![0, 255]), "notify whom=3 msg=00ff\n"),
-        (Action::Watch, "watch on=1\n"),
+        (Action::SendToPeer(3, vec![0, 255]), "notify whom=3 msg=00ff\n"),
+        (Action::Subscribe, "watch on=1\n"),
     ];
     for (action, expected) in cases {
         let mut text = String::new();
