--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,19 +1,22 @@
 //! The decision module's interface: settings, events and actions as plain types.
-//! No decisions and no tuned values stand here; those are all in `logic.rs`.
+//! It has no decisions and no tuned values; `logic.rs` has all of them.
+//!
+//! A server is a table hub as the decision module sees it: identity, place, phase and load. The controllers
+//! are the session controllers that share the servers.
 
 use std::fmt;
 use std::ops::{Add, Sub};
 
-/// A moment or a span, in whole microseconds. Arithmetic saturates.
+/// A point in time or a duration, in whole microseconds. Arithmetic saturates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// This span times `factor`, rounded down; a negative factor gives nought.
+    /// This duration times `factor`, rounded down; a negative factor gives zero.
     pub fn scale(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as u64)
     }
-    /// The span in seconds.
+    /// The duration in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
@@ -33,89 +36,89 @@
     }
 }
 
-/// A call's id, never used twice; below 2^62, so that timers can name it.
+/// A call's id, never reused. It is below 2^62, as timer tokens hold it next to the kind of timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// A core server's id; the same after a restart.
+/// A server's id, which it keeps across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerId(pub u64);
 
-/// What may be repeated once an attempt may have run.
+/// Whether a call may be attempted again once an earlier attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats and refusals are free.
+    /// A repeat has no further effect, and the call may be refused.
     Free,
-    /// Repeats only where the effect is recognised.
+    /// Only a repeat that the receiver recognises is safe; this module makes none.
     Guarded,
-    /// Never to run twice.
+    /// It must not run twice.
     SingleShot,
 }
 
-/// One class of calls.
+/// A class of calls.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Set-up time that earns the full worth.
+    /// Longest set-up time that earns the full worth.
     pub objective: Micros,
     /// How long a caller keeps trying, from the first try.
     pub deadline: Micros,
-    /// Worth of a call that stands in time.
+    /// Worth of a call that is established within the objective.
     pub worth: f64,
-    /// Share of the worth left when it stands later.
+    /// Part of the worth that a call established later earns.
     pub late_worth: f64,
-    /// What may be repeated.
+    /// Whether an attempt may be repeated.
     pub idempotency: Idempotency,
-    /// Places the class may use; empty means any.
+    /// Places that the class may use; empty means any.
     pub places: Vec<i64>,
-    /// Mean length of a call.
+    /// Mean duration of an established call.
     pub hold_time: Micros,
 }
 
-/// What an instance is told at its start.
+/// Settings of a controller, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many gateways share the servers.
+    /// Number of controllers that share the servers.
     pub balancers: u32,
     /// The call classes.
     pub classes: Vec<Class>,
-    /// A server starts at this part of its capacity, or more.
+    /// Part of its capacity that a server has at least right after its start.
     pub cold_from: f64,
-    /// It is warm no later than this after its start.
+    /// Time after its start by which a server has its full capacity.
     pub warm_up: Micros,
-    /// Multiple of present capacity that pushes a cold server over.
+    /// Load, as a multiple of its present capacity, that overloads a cold server if it lasts for `overload_for`.
     pub overload_factor: f64,
-    /// ... when kept up for this long: the window of the cold budget.
+    /// Duration of such a load that overloads a cold server: the window of its budget.
     pub overload_for: Micros,
-    /// Nothing new goes to a server this long after it was told to drain or to be gone.
+    /// Time after a server was told to drain, or to end, from which it gets no new calls.
     pub drain_grace: Micros,
-    /// Nothing for a call within this after a time-out, cut or cancel.
+    /// Time after a time-out, a cut or a cancel in which the call is not attempted again.
     pub release: Micros,
-    /// A waiting set-up is sent again by the network after this; nought: never.
+    /// Time after which the network resends a set-up that waits; zero: never.
     pub resend: Micros,
-    /// Attempts allowed for one call.
+    /// Attempts allowed per call.
     pub max_attempts: u32,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// Gateways may send each other messages.
+    /// Controllers may send messages to each other.
     pub may_message_peers: bool,
-    /// The longest stay-away that callers obey; nought: they get no such advice.
+    /// The longest retry-after that refused callers get; zero: they get none.
     pub max_retry_after: Micros,
-    /// This gateway's number among them.
+    /// This controller's index among the controllers, from 0.
     pub index: u32,
-    /// Changes of the list come only to subscribers.
+    /// Changes of the server list are sent only to subscribers.
     pub must_subscribe: bool,
-    /// The gateway's own place where servers are exchanges of a mesh.
+    /// This controller's own place, where the servers are the exchanges of a mesh; no call is sent there.
     pub own_place: Option<i64>,
 }
 
-/// Why settings were refused.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There is no class.
+    /// There is no call class.
     NoClasses,
-    /// A count that must be at least one is nought.
+    /// A count that must be at least 1 is zero.
     Zero(&'static str),
-    /// A number lies outside its range.
+    /// A number is outside its range.
     OutOfRange(&'static str),
 }
 
@@ -131,101 +134,101 @@
 
 impl std::error::Error for SettingsError {}
 
-/// A load report; what was not told is `None`.
+/// A server's load report; a figure that was not reported is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// Free lines.
     pub free: Option<f64>,
-    /// Lines in all.
+    /// Lines in all, free or not.
     pub size: Option<f64>,
-    /// Wait at the processor.
+    /// Time that a message waits for the processor.
     pub wait: Option<Micros>,
-    /// Share of the processor that is busy.
+    /// Busy part of the processor, 0 to 1.
     pub utilisation: Option<f64>,
-    /// Messages waiting.
+    /// Messages in the processor's queue.
     pub queue: Option<f64>,
-    /// New set-ups a second it can take from all senders.
+    /// New set-ups a second that the server can take from all senders.
     pub can_take: Option<f64>,
-    /// Share of new set-ups each sender is asked to hold back.
+    /// Part of its new set-ups that each sender is asked to hold back.
     pub hold_back: Option<f64>,
 }
 
 impl Report {
-    /// Whether any figure is told that a share comes from.
+    /// Whether it has any figure from which a throttle is set.
     pub fn has_load_figure(&self) -> bool {
         self.hold_back.or(self.utilisation).or(self.queue).is_some() || self.wait.is_some()
     }
 }
 
-/// What the list knows of a server.
+/// A server's phase according to the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// In service.
     Up,
-    /// Completing its work.
+    /// Completing its calls and taking no new ones once its grace is over.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One entry of the list.
+/// An entry of the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Which server.
+    /// The server's id.
     pub server: ServerId,
-    /// Its place: what a call names as first choice.
+    /// The server's place, by which calls name their first choice.
     pub place: i64,
-    /// Its phase.
+    /// The server's phase.
     pub phase: Phase,
-    /// Its latest start; `None`: long ago.
+    /// The server's latest start; `None`: long ago.
     pub born: Option<Micros>,
-    /// Since when its phase counts as told, at the earliest; `None`: from now on.
+    /// The earliest time at which the phase may have been announced; `None`: now.
     pub phase_since: Option<Micros>,
 }
 
-/// What kind of news a list is.
+/// What a server list holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries alone.
+    /// Only the changed entries.
     Changes,
     /// The whole list.
     Full,
-    /// The whole list as last seen, perhaps stale.
+    /// The whole list as last saved, possibly stale.
     Saved,
-    /// An ask failed; the old list stands.
+    /// Nothing, as the request for it failed: the previous list remains valid.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The call stood and came to its end.
+    /// The call was established and ended normally.
     Success,
-    /// A signalling fault, or all lines of the number busy.
+    /// A signalling fault, or all lines of the called number busy.
     Failure,
-    /// Turned away by the server, for want of lines or by a tandem; never ran.
+    /// Refused by the server for want of lines, or by a tandem exchange; never ran.
     Overloaded,
-    /// Turned away by a full processor; never ran.
+    /// Refused by a full processor; never ran.
     ProcessorFull,
-    /// No answer in time.
+    /// Not answered in time.
     TimedOut,
-    /// No connection; never ran.
+    /// There was no connection; never ran.
     Unreachable,
-    /// The set-up or the call was cut.
+    /// The set-up or the established call was cut.
     Broken,
-    /// Called off.
+    /// Cancelled.
     Withdrawn,
     /// Not sent.
     Void,
 }
 
 impl Outcome {
-    /// Whether it proves that the set-up never ran.
+    /// Whether this outcome proves that the set-up never ran.
     pub fn proves_never_ran(self) -> bool {
         matches!(self, Outcome::Overloaded | Outcome::ProcessorFull | Outcome::Unreachable | Outcome::Void)
     }
 
-    /// Whether what the set-up held may stay taken for a while, so that the call must wait.
+    /// Whether the set-up's resources may stay in use for a while, so that the call waits for the release.
     pub fn awaits_release(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::Broken | Outcome::Withdrawn)
     }
@@ -234,70 +237,71 @@
 /// A new call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewCall {
-    /// Its id.
+    /// The call's id.
     pub id: CallId,
     /// Index into `Settings::classes`.
     pub class: usize,
-    /// Place of its first-choice server.
+    /// Place of the first-choice server.
     pub place: i64,
-    /// The number called.
+    /// The called number, if known.
     pub number: Option<u64>,
-    /// When its caller gives this try up.
+    /// When the caller gives up this try.
     pub deadline: Micros,
-    /// The caller dials again.
+    /// The caller dials again after a try that failed.
     pub repeat: bool,
-    /// It stood, was cut and comes again.
+    /// The call was established before, was cut and comes again.
     pub returned: bool,
-    /// It is in transit: only its destination will do.
+    /// The call is in transit: only its first choice may take it.
     pub transit: bool,
 }
 
-/// How an attempt ended, and what was told with it.
+/// The end of an attempt, with the load report that came with it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// Which call.
+    /// The attempt's call.
     pub id: CallId,
-    /// Which attempt.
+    /// The attempt's number within the call, from 0.
     pub attempt: u32,
-    /// At which server.
+    /// The server that it was sent to.
     pub server: ServerId,
-    /// How.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The call is over, nothing more is owed.
+    /// The call is over and needs no final answer.
     pub over: bool,
-    /// All lines of the number are busy.
+    /// All lines of the called number are busy.
     pub number_busy: bool,
-    /// The load told with it.
+    /// The load that the server reported with it.
     pub report: Report,
 }
 
-/// What is believed of a server that may be worth something to the next start. Nought stands for what is
-/// not known, but for `weight` and `pass`, where 1 does.
+/// What is known and estimated of a server, as far as it is of use after a restart. Unknown figures are 0, or
+/// 1 for `weight` and `pass`. The names of the fields are those of the stored file. Rates are in set-ups a
+/// second of all controllers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerEstimate {
-    /// When it was last heard of; what follows is as old.
+    /// When the server last answered; the other figures are as old.
     pub heard: Micros,
-    /// The most calls a second it was seen to carry, warm, for all gateways.
+    /// Peak rate: the most that it was seen to carry while warm.
     pub carried: f64,
-    /// Set-ups a second that it is held to carry now.
+    /// Service rate: what it can carry now, as reported or estimated.
     pub carries: f64,
-    /// Set-ups a second that it last said it can take.
+    /// The rate that it last reported it can take.
     pub can_take: f64,
-    /// The wait at its processor.
+    /// Expected wait for its processor.
     pub wait: Micros,
-    /// Smoothed delay of own set-ups.
+    /// Smoothed set-up time of own calls.
     pub delay: Micros,
-    /// Its weight in the draw, up to 1.
+    /// Its weight in the random choice of a server for a diverted call, up to 1.
     pub weight: f64,
-    /// The part of own calls that is let through, up to 1.
+    /// Part of own calls that is let through to it, up to 1.
     pub pass: f64,
-    /// The share held back, up to 1,
+    /// Part of own calls that its throttle holds back, up to 1.
     pub share: f64,
-    /// ... and when it lapses.
+    /// When the throttle expires.
     pub share_until: Micros,
-    /// It gives signs of being dead.
+    /// It seems dead, and gets trial calls only.
     pub silent: bool,
-    /// It is taken for cold until then.
+    /// It counts as cold until then.
     pub cold_until: Micros,
 }
 
@@ -321,45 +325,45 @@
     }
 }
 
-/// What happens to an instance.
+/// An event that a controller handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// What was known before the start: the mean length of a call, in seconds, if any, and of servers that
-    /// the next list names for the first time.
+    /// Estimates from before a restart: the mean hold time of calls in seconds, if known, and those of
+    /// servers that the next server list names for the first time.
     Restored(Option<f64>, Vec<(ServerId, ServerEstimate)>),
-    /// News of the list.
+    /// The server list or changes of it.
     List(ListKind, Vec<Entry>),
     /// A new call.
     Call(NewCall),
-    /// An attempt's call stands: call, server, attempt, time since the send.
+    /// An attempt established its call: call, server, attempt, time since the send.
     Established(CallId, ServerId, u32, Micros),
     /// An attempt ended.
     Ended(AttemptEnd),
-    /// The caller left.
+    /// The caller gave up or hung up.
     CallerLeft(CallId),
-    /// A timer is due.
+    /// The timer with this token is due.
     Timer(u64),
-    /// A probe's answer, or news of lines that nobody asked for.
+    /// The answer to a probe, or an unsolicited load report.
     Probed(ServerId, Outcome, Report),
-    /// A message of a fellow gateway.
+    /// A message from another controller: its index and the content.
     PeerMessage(u32, Vec<u8>),
 }
 
-/// What an instance does.
+/// An action that a controller asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start a set-up, with this time-out.
+    /// Send a set-up of this call to this server, with this time-out.
     Send(CallId, ServerId, Micros),
-    /// Final answer: turned away, and how long the caller should stay away; nought: no advice.
+    /// Final answer: refused, with a retry-after; zero: none.
     Refuse(CallId, Micros),
-    /// Final answer: failed.
+    /// Final answer: failed, as an attempt may have run.
     Fail(CallId),
-    /// Call an attempt off.
+    /// Cancel this attempt of this call.
     Cancel(CallId, u32),
-    /// Wake the instance at this time with this token.
+    /// Set a timer for this time, to be returned with this token.
     Timer(Micros, u64),
-    /// Tell a fellow gateway something.
+    /// Send a message to the controller with this index.
     SendToPeer(u32, Vec<u8>),
-    /// Subscribe to the list.
+    /// Subscribe to the server list.
     Subscribe,
 }
