--- a/src/interface.rs
+++ b/src/interface.rs
@@ -85,7 +85,7 @@
     pub cold_from: f64,
     /// Time after its start by which a server has its full capacity.
     pub warm_up: Micros,
-    /// Load, as a multiple of its present capacity, that overloads a cold server if it lasts for `overload_for`.
+    /// Load, in multiples of its present capacity, that overloads a cold server if it lasts `overload_for`.
     pub overload_factor: f64,
     /// Duration of such a load that overloads a cold server: the window of its budget.
     pub overload_for: Micros,
