--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,7 @@
 //! The decision module: each test drives one controller with events and checks one of its behaviours.
+//!
+//! The sending rules in test names: (1) a final answer in time, (2) one attempt at a time, (3) no call to a
+//! server past its drain grace, (4) a cold server's budget, (5) the wait for a release.
 
 mod common;
 
@@ -712,10 +715,10 @@
 
 #[test]
 fn refused_callers_are_told_to_retry_within_their_objective() {
-    let refusal = |fixture: &mut Fixture, request: NewCall| {
+    let refused_for = |fixture: &mut Fixture, request: NewCall| {
         let actions = fixture.handle(Event::Call(request));
         match actions.last() {
-            Some(Action::Refuse(_, refusal)) => *refusal,
+            Some(Action::Refuse(_, retry_after)) => *retry_after,
             other => panic!("expected a refusal, got {other:?}"),
         }
     };
@@ -726,7 +729,7 @@
     };
     let mut fixture = Fixture::with(Settings { max_retry_after: Micros(2 * SECOND), ..settings() }, 0);
     let first = request(&fixture, 1);
-    let retry_after = refusal(&mut fixture, first);
+    let retry_after = refused_for(&mut fixture, first);
     assert!(
         retry_after > Micros(0) && retry_after.0 < SECOND / 2,
         "{retry_after:?} leaves time for a try within the objective"
@@ -735,13 +738,13 @@
     // past the objective.
     fixture.now += retry_after.0;
     let second = request(&fixture, 2);
-    assert!(refusal(&mut fixture, second) < retry_after);
+    assert!(refused_for(&mut fixture, second) < retry_after);
     fixture.now += SECOND;
     let third = request(&fixture, 3);
-    assert_eq!(refusal(&mut fixture, third), Micros(2 * SECOND));
+    assert_eq!(refused_for(&mut fixture, third), Micros(2 * SECOND));
     let mut without = Fixture::new(0);
     let request = request(&without, 1);
-    assert_eq!(refusal(&mut without, request), Micros(0), "without a longest retry-after none is given");
+    assert_eq!(refused_for(&mut without, request), Micros(0), "without a longest retry-after none is given");
 }
 
 /// A controller that restores an estimate of server 0 before its first server list.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,6 @@
-//! The five rules and the module's memory under random legal events, with fixed seeds.
+//! Property test of the decision module. Random sequences of legal events, from fixed seeds, must break none
+//! of these sending rules: (1) one final answer, in time; (2) one attempt at a time; (3) no call to a draining
+//! server; (5) the wait for a release. No ended call may stay in memory.
 
 mod common;
 
@@ -9,38 +11,38 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
-/// What the world remembers of a call.
+/// The expected state of a call.
 #[derive(Default)]
-struct Known {
+struct ExpectedCall {
     deadline: u64,
-    out: Option<(u64, u32)>,
-    standing: bool,
+    in_flight: Option<(u64, u32)>,
+    established: bool,
     answered: bool,
-    sent: u32,
-    not_before: u64,
+    attempts: u32,
+    retry_at: u64,
 }
 
-/// A small world that plays legal events and checks every action.
-struct World {
-    gateway: Controller,
+/// A simulated environment that feeds legal events to a controller and checks every action.
+struct Environment {
+    controller: Controller,
     set: Settings,
     now: u64,
-    calls: BTreeMap<u64, Known>,
+    calls: BTreeMap<u64, ExpectedCall>,
     up: BTreeMap<u64, bool>,
     timers: Vec<(u64, u64)>,
-    next: u64,
+    next_id: u64,
 }
 
-impl World {
-    fn new(set: Settings, seed: u64) -> World {
-        let gateway = Controller::new(set.clone(), seed, Micros(0)).expect("sane settings");
+impl Environment {
+    fn new(set: Settings, seed: u64) -> Environment {
+        let controller = Controller::new(set.clone(), seed, Micros(0)).expect("valid settings");
         let (calls, up) = (BTreeMap::new(), BTreeMap::new());
-        World { gateway, set, now: 0, calls, up, timers: Vec::new(), next: 0 }
+        Environment { controller, set, now: 0, calls, up, timers: Vec::new(), next_id: 0 }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.gateway.handle(Micros(self.now), event, &mut actions);
+        self.controller.handle(Micros(self.now), event, &mut actions);
         for action in actions {
             self.check(action);
         }
@@ -49,25 +51,33 @@
     fn check(&mut self, action: Action) {
         match action {
             Action::Send(id, server, timeout) => {
-                let call = self.calls.get_mut(&id.0).expect("a call that was given");
-                assert!(!call.answered && !call.standing, "rule 1: a send for a call that is over");
-                assert!(self.now + timeout.0 <= call.deadline, "rule 1: in time");
-                assert!(call.out.is_none(), "rule 2: one attempt out");
-                assert_eq!(self.up.get(&server.0), Some(&true), "rule 3: drains");
-                assert!(self.now >= call.not_before, "rule 5: release");
-                assert!(call.sent < self.set.max_attempts, "attempts");
-                call.out = Some((server.0, call.sent));
-                call.sent += 1;
+                let call = self.calls.get_mut(&id.0).expect("a known call");
+                assert!(!call.answered && !call.established, "rule 1: no send for a call that is over");
+                assert!(self.now + timeout.0 <= call.deadline, "rule 1: before the deadline");
+                assert!(call.in_flight.is_none(), "rule 2: one attempt at a time");
+                assert_eq!(
+                    self.up.get(&server.0),
+                    Some(&true),
+                    "rule 3: no send to a draining or removed server"
+                );
+                assert!(self.now >= call.retry_at, "rule 5: no send before the release");
+                assert!(call.attempts < self.set.max_attempts, "rule 2: no more attempts than allowed");
+                call.in_flight = Some((server.0, call.attempts));
+                call.attempts += 1;
             }
             Action::Refuse(id, _) | Action::Fail(id) => {
-                let call = self.calls.get_mut(&id.0).expect("a call that was given");
-                assert!(!call.answered && !call.standing, "rule 1: one final answer");
-                assert!(self.now <= call.deadline, "rule 1: in time");
+                let call = self.calls.get_mut(&id.0).expect("a known call");
+                assert!(!call.answered && !call.established, "rule 1: one final answer");
+                assert!(self.now <= call.deadline, "rule 1: before the deadline");
                 call.answered = true;
             }
             Action::Cancel(id, attempt) => {
                 assert!(self.set.may_cancel);
-                assert_eq!(self.calls[&id.0].out.map(|o| o.1), Some(attempt), "cancels what is out");
+                assert_eq!(
+                    self.calls[&id.0].in_flight.map(|o| o.1),
+                    Some(attempt),
+                    "only the attempt in flight is cancelled"
+                );
             }
             Action::Timer(at, token) => self.timers.push((at.0, token)),
             Action::SendToPeer(peer, bytes) => {
@@ -83,57 +93,58 @@
         let born = Some(Micros(born)).filter(|b| b.0 > 0);
         let entry =
             Entry { server: ServerId(server), place: (server % 3) as i64, phase, born, phase_since: None };
-        self.tell(Event::List(ListKind::Changes, vec![entry]));
+        self.handle(Event::List(ListKind::Changes, vec![entry]));
     }
 
     fn call(&mut self, place: i64, number: u64, returned: bool) {
-        let (id, deadline) = (self.next, self.now + 3_000_000);
-        self.next += 1;
-        self.calls.insert(id, Known { deadline, ..Known::default() });
+        let (id, deadline) = (self.next_id, self.now + 3_000_000);
+        self.next_id += 1;
+        self.calls.insert(id, ExpectedCall { deadline, ..ExpectedCall::default() });
         let class = (id % self.set.classes.len() as u64) as usize;
-        let asked = NewCall {
+        let request = NewCall {
             number: Some(number),
             returned,
             deadline: Micros(deadline),
             class,
             ..new_call(id, place)
         };
-        self.tell(Event::Call(asked));
+        self.handle(Event::Call(request));
     }
 
     fn end(&mut self, pick: usize, outcome: Outcome, report: Report) {
-        let out: Vec<u64> = self.calls.iter().filter(|(_, c)| c.out.is_some()).map(|(i, _)| *i).collect();
-        let Some(id) = out.get(pick % out.len().max(1)).copied() else { return };
+        let in_flight: Vec<u64> =
+            self.calls.iter().filter(|(_, c)| c.in_flight.is_some()).map(|(i, _)| *i).collect();
+        let Some(id) = in_flight.get(pick % in_flight.len().max(1)).copied() else { return };
         let now = self.now;
-        let call = self.calls.get_mut(&id).expect("is out");
-        let (server, attempt) = call.out.take().expect("is out");
-        let broken = matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::Withdrawn);
-        let over = call.answered || call.standing || outcome == Outcome::Success;
-        if broken {
-            call.not_before = now + self.set.release.0;
+        let call = self.calls.get_mut(&id).expect("in flight");
+        let (server, attempt) = call.in_flight.take().expect("in flight");
+        let awaits_release = matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::Withdrawn);
+        let over = call.answered || call.established || outcome == Outcome::Success;
+        if awaits_release {
+            call.retry_at = now + self.set.release.0;
         }
         call.answered |= over;
         let (id, server) = (CallId(id), ServerId(server));
         let number_busy = outcome == Outcome::Failure;
-        self.tell(Event::Ended(AttemptEnd { id, attempt, server, outcome, over, number_busy, report }));
+        self.handle(Event::Ended(AttemptEnd { id, attempt, server, outcome, over, number_busy, report }));
     }
 
-    fn stand(&mut self, pick: usize) {
-        let waiting: Vec<u64> = self
+    fn establish(&mut self, pick: usize) {
+        let pending: Vec<u64> = self
             .calls
             .iter()
-            .filter(|(_, c)| c.out.is_some() && !c.standing && !c.answered)
+            .filter(|(_, c)| c.in_flight.is_some() && !c.established && !c.answered)
             .map(|(i, _)| *i)
             .collect();
-        let Some(id) = waiting.get(pick % waiting.len().max(1)).copied() else { return };
-        let call = self.calls.get_mut(&id).expect("waits");
-        call.standing = true;
-        let (server, attempt) = call.out.expect("is out");
-        self.tell(Event::Established(CallId(id), ServerId(server), attempt, Micros(40_000)));
+        let Some(id) = pending.get(pick % pending.len().max(1)).copied() else { return };
+        let call = self.calls.get_mut(&id).expect("pending");
+        call.established = true;
+        let (server, attempt) = call.in_flight.expect("in flight");
+        self.handle(Event::Established(CallId(id), ServerId(server), attempt, Micros(40_000)));
     }
 
-    /// Passes time with every timer at its moment, and time-outs at the callers' deadlines.
-    fn pass(&mut self, by: u64) {
+    /// Advances time and fires each timer when it is due; then no call may be unanswered past its deadline.
+    fn advance(&mut self, by: u64) {
         let until = self.now + by;
         loop {
             self.timers.sort_unstable();
@@ -141,11 +152,14 @@
             let Some((at, token)) = due else { break };
             self.timers.remove(0);
             self.now = self.now.max(at);
-            self.tell(Event::Timer(token));
+            self.handle(Event::Timer(token));
         }
         self.now = until;
         for (id, call) in &self.calls {
-            assert!(call.answered || call.standing || call.deadline >= self.now, "rule 1: call {id} is owed");
+            assert!(
+                call.answered || call.established || call.deadline >= self.now,
+                "rule 1: call {id} got no answer by its deadline"
+            );
         }
     }
 }
@@ -153,10 +167,10 @@
 #[derive(Clone, Debug)]
 enum Step {
     Call(i64, u64, bool),
-    Pass(u64),
+    Advance(u64),
     List(u64, Phase, u64),
     End(usize, Outcome, Option<u64>, Option<f64>, f64),
-    Stand(usize),
+    Establish(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -173,46 +187,47 @@
     ];
     let phase = prop_oneof![3 => Just(Phase::Up), 1 => Just(Phase::Draining), 1 => Just(Phase::Gone)];
     let wait = prop_oneof![Just(None), (0..3_000_000u64).prop_map(Some), Just(Some(u64::MAX))];
-    let share = prop_oneof![Just(None), (0.0..1.2f64).prop_map(Some), Just(Some(f64::MAX))];
+    let hold_back = prop_oneof![Just(None), (0.0..1.2f64).prop_map(Some), Just(Some(f64::MAX))];
     prop_oneof![
         6 => (0..4i64, 0..20u64, any::<bool>()).prop_map(|(p, n, r)| Step::Call(p, n, r)),
-        4 => (1..400_000u64).prop_map(Step::Pass),
+        4 => (1..400_000u64).prop_map(Step::Advance),
         1 => (0..6u64, phase, 0..9_000_000u64).prop_map(|(s, p, b)| Step::List(s, p, b)),
-        3 => (0..50usize, outcome, wait, share, -1.0..40.0f64).prop_map(|(k, o, w, h, f)| Step::End(k, o, w, h, f)),
-        3 => (0..50usize).prop_map(Step::Stand),
+        3 => (0..50usize, outcome, wait, hold_back, -1.0..40.0f64)
+            .prop_map(|(k, o, w, h, f)| Step::End(k, o, w, h, f)),
+        3 => (0..50usize).prop_map(Step::Establish),
     ]
 }
 
-fn play(set: &Settings, steps: &[Step], seed: u64) {
-    let mut world = World::new(set.clone(), seed);
+fn run_steps(set: &Settings, steps: &[Step], seed: u64) {
+    let mut environment = Environment::new(set.clone(), seed);
     for server in 0..3 {
-        world.list(server, Phase::Up, 0);
+        environment.list(server, Phase::Up, 0);
     }
     for step in steps {
         match step.clone() {
-            Step::Call(place, number, returned) => world.call(place, number, returned),
-            Step::Pass(by) => world.pass(by),
-            Step::List(server, phase, born) => world.list(server, phase, born),
+            Step::Call(place, number, returned) => environment.call(place, number, returned),
+            Step::Advance(by) => environment.advance(by),
+            Step::List(server, phase, born) => environment.list(server, phase, born),
             Step::End(pick, outcome, wait, hold_back, free) => {
                 let wait = wait.map(Micros);
                 let report =
                     Report { wait, hold_back, free: Some(free), size: Some(30.0), ..Report::default() };
-                world.end(pick, outcome, report);
+                environment.end(pick, outcome, report);
             }
-            Step::Stand(pick) => world.stand(pick),
+            Step::Establish(pick) => environment.establish(pick),
         }
     }
-    world.pass(20_000_000);
-    while world.calls.values().any(|c| c.out.is_some()) {
-        world.end(0, Outcome::Success, Report::default());
+    environment.advance(20_000_000);
+    while environment.calls.values().any(|c| c.in_flight.is_some()) {
+        environment.end(0, Outcome::Success, Report::default());
     }
-    let (calls, servers, numbers) = world.gateway.tracked_counts();
-    assert_eq!(calls, 0, "ended calls are forgotten");
+    let (calls, servers, numbers) = environment.controller.tracked_counts();
+    assert_eq!(calls, 0, "no ended call is kept");
     assert!(servers <= 6 && numbers <= 64);
 }
 
 #[test]
-fn rules_hold_under_random_events() {
+fn no_rule_is_broken_by_random_events() {
     let base = settings();
     let variants = [
         base.clone(),
@@ -234,9 +249,9 @@
         let steps = proptest::collection::vec(step(), 1..300);
         TestRunner::new_with_rng(config, rng)
             .run(&(steps, any::<u64>()), |(steps, seed)| {
-                play(&set, &steps, seed);
+                run_steps(&set, &steps, seed);
                 Ok(())
             })
-            .expect("the rules hold");
+            .expect("no rule is broken");
     }
 }
