--- a/src/logic.rs
+++ b/src/logic.rs
@@ -3,6 +3,7 @@
 //! A new call goes to the server at the place that it names, unless that server's throttle holds it back. A
 //! held-back call is offered once to another server, chosen at random by weight and subject to that server's
 //! throttle, and is refused otherwise. Every send passes `may_send`, which enforces the five sending rules.
+//! The fleet is all controllers that share the servers.
 
 use crate::interface::*;
 use rand_core::{RngCore, SeedableRng};
@@ -45,11 +46,11 @@
 /// and for `OVERDUE_FACTOR` times the set-up time expected of it.
 const SILENCE_TIMEOUT_RATIO: f64 = 0.5;
 const OVERDUE_FACTOR: f64 = 1.5; // Multiple of the expected set-up time: reported waits are out of date
-/// Free lines kept in reserve, in square roots of the fleet's set-ups a second: random variation.
+/// Free lines kept in reserve, in square roots of the fleet's set-ups a second, for random variation.
 const SPARE_LINES_FACTOR: f64 = 1.0;
 /// Set-ups over which the fleet's rate is averaged: random variation dominates in fewer.
 const FLOW_WINDOW: f64 = 40.0;
-/// Lowest rate, in set-ups a second, that this window is sized for, so that it spans about 3 s at most.
+/// Lowest rate, in set-ups a second, that `FLOW_WINDOW` is sized for, so that it spans about 3 s at most.
 const MIN_WINDOW_RATE: f64 = 13.0;
 /// The fleet's rate is taken from reports at least this far apart: random variation dominates in less.
 const MIN_FLOW_INTERVAL: Micros = Micros(250_000);
@@ -68,11 +69,11 @@
 const MAX_WAIT_GROWTH: f64 = 1.0;
 const SERVICE_RATE_RECOVERY: f64 = 0.15; // Growth a second of a service rate that is not reported
 const DIVERSION_TTL: Micros = Micros(2_000_000); // Lifetime of a token for a diverted call
-const DIVERSION_FACTOR: f64 = 4.0; // Multiple of the spare rate issued in such tokens: many expire unused
+const DIVERSION_FACTOR: f64 = 4.0; // Diversion tokens issued per spare set-up: many expire unused
 const MAX_PASS_GROWTH: f64 = 2.0; // Growth a second of the part of calls let through, relative to it
 const MIN_PASS: f64 = 0.03; // Least part of calls let through: a server is never shut off by it
-const GOSSIP_RATIO: f64 = 0.5; // Change of a wait that peers are told, as part of the wait threshold
-const GOSSIP_FANOUT: usize = 8; // Peers that are told, in eight bytes each
+const GOSSIP_RATIO: f64 = 0.5; // Change of a wait that is sent to peers, as part of the wait threshold
+const GOSSIP_FANOUT: usize = 8; // Peers that a changed wait is sent to, in eight bytes each
 const CHECK_INTERVAL: Micros = Micros(150_000); // Between checks of a set-up in flight
 /// A set-up is lost if one sent this much later was answered: jitter is far smaller.
 const OVERTAKE_MARGIN: Micros = Micros(60_000);
@@ -89,13 +90,13 @@
 /// Lifetime of a cold server's token, as part of the overload window. Tokens that were saved up add as much
 /// to what is sent in a window: 1.25 times `COLD_BUDGET_RATIO` is the whole budget.
 const COLD_TOKEN_TTL_RATIO: f64 = 0.25;
-const MIN_CRASH_LINES: f64 = 12.0; // A server with no more lines in use is not taken for crashed
+const MIN_CRASH_LINES: f64 = 12.0; // Only a server with more lines in use may be taken for crashed
 const CRASH_RATIO: f64 = 0.25; // A server crashed if its lines in use fall under this part in one report
 /// Part of a cold server's budget that is issued: the estimate of its capacity may be too high by as much.
 const COLD_BUDGET_RATIO: f64 = 0.8;
 const UNREPORTED_SIZE_RATIO: f64 = 0.25; // Lines of a cold server without report, as part of the fewest known
 const BUSY_NUMBER_STEP: f64 = 0.25; // Rise or fall of a busy number's throttle at each answer
-const MAX_BUSY_NUMBER_THROTTLE: f64 = 0.9; // The other calls find out whether lines are free again
+const MAX_BUSY_NUMBER_THROTTLE: f64 = 0.9; // The calls let through find out whether lines are free again
 const MIN_HOLD_SECS: f64 = 0.1; // Least mean hold time
 /// Restored throttling is dropped once a rate is reported that exceeds the restored one by this factor.
 const RESTORED_RATE_TOLERANCE: f64 = 1.25;
