--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -16,7 +16,7 @@
 use crate::learning::{Identity, LearnedHub, LearnedState, RestoredState, StateCollector};
 use crate::metrics;
 use crate::Controller;
-use outcome::AttemptEnd;
+use outcome::ObservedEnd;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use timer_wheel::{TimerWheel, TICK_LENGTH};
@@ -132,7 +132,7 @@
     origin: Origin,
     class: Arc<str>,
     /// Whether the set-up may be repeated at a hub once it may have run.
-    effect: Effect,
+    effect: Idempotency,
     number: Arc<str>,
     description: Description,
     deadline: Micros,
@@ -150,7 +150,7 @@
 impl Call {
     /// Whether a further attempt, or telling the caller that nothing ran, could do harm.
     fn must_not_repeat(&self) -> bool {
-        self.effect != Effect::Free && self.may_have_run
+        self.effect != Idempotency::Free && self.may_have_run
     }
 }
 
@@ -204,8 +204,8 @@
 pub struct Core {
     controller: Controller,
     names: Names,
-    /// Effect and deadline of each class.
-    classes: Vec<(Effect, Micros)>,
+    /// Idempotency and deadline of each class.
+    classes: Vec<(Idempotency, Micros)>,
     limits: Limits,
     max_attempts: u32,
     fronts: Vec<mpsc::Sender<ToFront>>,
@@ -264,7 +264,7 @@
         Ok(Core {
             controller: Controller::new(config.settings.clone(), config.seed, now)?,
             names: config.names.clone(),
-            classes: config.settings.classes.iter().map(|c| (c.effect, c.deadline)).collect(),
+            classes: config.settings.classes.iter().map(|c| (c.idempotency, c.deadline)).collect(),
             limits: config.limits.clone(),
             max_attempts: config.settings.max_attempts,
             fronts,
@@ -377,13 +377,13 @@
         let (hubs, controller) = (&self.hubs, &self.controller);
         let learned_hub = |i: usize| {
             let hub = hubs.get(i).filter(|h| h.phase != Phase::Gone)?;
-            Some(LearnedHub { hub: hub.identity(), belief: controller.belief(hub.id)? })
+            Some(LearnedHub { hub: hub.identity(), belief: controller.estimate(hub.id)? })
         };
         let collector = export.collector.get_or_insert_default();
         if let Some(mut learned_hubs) = collector.collect(hubs.len(), max_hubs, learned_hub) {
             let unlisted = self.restored.iter().flat_map(|m| m.unlisted(now)).cloned();
             learned_hubs.extend(unlisted.take(MAX_HUBS.saturating_sub(hubs.len())));
-            let learned = LearnedState { at: now, hold: controller.hold(), hubs: learned_hubs };
+            let learned = LearnedState { at: now, hold: controller.mean_hold_secs(), hubs: learned_hubs };
             export.collector = None;
             export.next_at = now + export.interval;
             export.sender.send_replace(Some(Arc::new(learned)));
@@ -404,7 +404,7 @@
             self.restored = None;
         }
         if hold.is_some() || !recalled.is_empty() {
-            self.dispatch(now, Event::Recalled(hold, recalled));
+            self.dispatch(now, Event::Restored(hold, recalled));
         }
     }
 
@@ -435,7 +435,7 @@
                     let open: Vec<CallId> = open.collect();
                     for id in open {
                         self.give_final_answer(now, Action::Refuse(id, Micros(0)));
-                        self.dispatch(now, Event::Left(id));
+                        self.dispatch(now, Event::CallerLeft(id));
                     }
                 }
             }
@@ -541,7 +541,7 @@
         let Some(call) = self.calls.get_mut(&id).filter(|c| c.front == front && !c.answered) else { return };
         call.answered = true;
         self.unanswered -= 1;
-        self.dispatch(now, Event::Left(id));
+        self.dispatch(now, Event::CallerLeft(id));
         self.give_up(id, Outcome::Withdrawn);
         self.remove_call_if_over(now, id);
     }
@@ -597,7 +597,7 @@
                     }
                     return;
                 };
-                let outcome = outcome::outcome_of(AttemptEnd::Released(cause, note), call.established, None);
+                let outcome = outcome::outcome_of(ObservedEnd::Released(cause, note), call.established, None);
                 if call.established {
                     let (front, origin) = (call.front, call.origin);
                     metrics::CALLS_RELEASED.increment();
@@ -613,14 +613,14 @@
                     now,
                     call,
                     attempt,
-                    if began { AttemptEnd::GivenUp } else { AttemptEnd::CancelledUnsent },
+                    if began { ObservedEnd::GivenUp } else { ObservedEnd::CancelledUnsent },
                 );
             }
             FromHub::ConnectionLost(name, attempt) => {
-                self.handle_set_up_end(now, name, attempt, AttemptEnd::ConnectionLost)
+                self.handle_set_up_end(now, name, attempt, ObservedEnd::ConnectionLost)
             }
             FromHub::Unreachable(name, attempt) => {
-                self.handle_set_up_end(now, name, attempt, AttemptEnd::Unreachable)
+                self.handle_set_up_end(now, name, attempt, ObservedEnd::Unreachable)
             }
             FromHub::NotSent(name, attempt) => {
                 let expired =
@@ -629,7 +629,7 @@
                     now,
                     name,
                     attempt,
-                    if expired { AttemptEnd::NotSentExpired } else { AttemptEnd::NotSentDraining },
+                    if expired { ObservedEnd::NotSentExpired } else { ObservedEnd::NotSentDraining },
                 );
             }
             FromHub::LoadReport(report) => {
@@ -667,7 +667,7 @@
         report: Report,
     ) {
         let Some((id, call)) = self.call_at_link(link, name) else { return };
-        let outcome = outcome::outcome_of(AttemptEnd::ReleasedUnanswered(cause), call.established, None);
+        let outcome = outcome::outcome_of(ObservedEnd::ReleasedUnanswered(cause), call.established, None);
         self.fail_without_give_up(now, id);
         self.end_attempt(now, id, outcome, false, report);
     }
@@ -682,7 +682,7 @@
         metrics::CALLS_FAILED.increment();
         tracing::debug!(call = %call.name, "call failed: released before its answer");
         self.to_front(front, message);
-        self.dispatch(now, Event::Left(id));
+        self.dispatch(now, Event::CallerLeft(id));
     }
 
     fn forward_load_report(&mut self, now: Micros, index: Option<usize>, report: Report) {
@@ -712,7 +712,7 @@
                 metrics::CALLS_ANSWERED.increment();
                 tracing::debug!(call = %name, attempt = attempt.number, link = link.0, "call answered");
                 self.to_front(front, ToFront::Answer(origin, name, description));
-                self.dispatch(now, Event::Stands(id, server, index, answer_time));
+                self.dispatch(now, Event::Established(id, server, index, answer_time));
             }
             // The answer crossed the give-up, or the call has ended. The hub holds a call without a caller,
             // so the call is released there and the answer is not passed on. A give-up that is still to be
@@ -726,7 +726,7 @@
     }
 
     /// Handles the end of an attempt whose call was not established, as reported by its link.
-    fn handle_set_up_end(&mut self, now: Micros, name: CallName, number: u64, end: AttemptEnd) {
+    fn handle_set_up_end(&mut self, now: Micros, name: CallName, number: u64, end: ObservedEnd) {
         let Some((id, attempt)) = self.open_attempt(name, number) else { return };
         let outcome = outcome::outcome_of(end, false, attempt.give_up_reason);
         // Only the hub ends an established call.
@@ -758,7 +758,7 @@
                 cut += 1;
             }
             let outcome = outcome::outcome_of(
-                AttemptEnd::ConnectionLost,
+                ObservedEnd::ConnectionLost,
                 call.established,
                 call.attempt.as_ref().and_then(|o| o.give_up_reason),
             );
@@ -785,12 +785,12 @@
         let Some(attempt) = call.attempt.take() else { return };
         self.calls_by_link.remove(&(attempt.link, id));
         call.established = false;
-        call.may_have_run |= !outcome.proves_unrun();
+        call.may_have_run |= !outcome.proves_never_ran();
         tracing::debug!(call = %call.name, attempt = attempt.number, link = attempt.link.0, ?outcome, "attempt ended");
         if outcome.awaits_release() {
             call.not_before = now + self.limits.release;
         }
-        let end = End {
+        let end = AttemptEnd {
             id,
             attempt: attempt.index,
             server: attempt.server,
@@ -934,7 +934,7 @@
             place: h.place,
             phase: h.phase,
             born: h.born,
-            told: h.leaving_since,
+            phase_since: h.leaving_since,
         };
         let (kind, entries) = match self.full_list_received && !update.full {
             true => (ListKind::Changes, named.iter().map(|i| entry(&self.hubs[*i])).collect()),
@@ -1029,7 +1029,7 @@
                                 c.attempts_sent - 1
                             });
                             let over = self.calls.get(&id).is_none_or(|c| c.answered);
-                            events.push_back(Event::Ended(End {
+                            events.push_back(Event::Ended(AttemptEnd {
                                 id,
                                 attempt: index,
                                 server,
@@ -1051,7 +1051,7 @@
                     Action::Timer(at, token) => self.timers.add(at, TimerEvent::Module(token)),
                     // Session controllers cannot send each other these messages, and list changes arrive
                     // without a subscription.
-                    Action::Tell(..) | Action::Watch => {}
+                    Action::SendToPeer(..) | Action::Subscribe => {}
                 }
             }
         }
@@ -1114,7 +1114,7 @@
     fn give_final_answer(&mut self, now: Micros, action: Action) {
         let (Action::Refuse(id, _) | Action::Fail(id)) = action else { return };
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
-        let open = call.effect != Effect::Free && call.attempt.is_some();
+        let open = call.effect != Idempotency::Free && call.attempt.is_some();
         let action = if call.must_not_repeat() || open { Action::Fail(id) } else { action };
         call.answered = true;
         self.unanswered -= 1;
--- a/src/core/outcome.rs
+++ b/src/core/outcome.rs
@@ -1,6 +1,6 @@
 //! Maps each way in which an attempt can end to its outcome.
 //!
-//! Links report what they observed ([`AttemptEnd`]). What that means for the call, and whether the set-up may
+//! Links report what they observed ([`ObservedEnd`]). What that means for the call, and whether the set-up may
 //! have run, is decided only here:
 //!
 //! | observed | before the call is established | once it is established | may have run | pause |
@@ -27,7 +27,7 @@
 
 /// The end of an attempt as observed by a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum ObservedEnd {
     /// The hub refused the set-up or released the call.
     Released(Cause, RefusalNote),
     /// The hub released a call before its answer arrived; the call was, or may have been, established.
@@ -48,24 +48,24 @@
 
 /// Returns the outcome of an attempt. `established` tells whether its call was established, and
 /// `give_up_reason` why the attempt was being given up, if it was.
-pub fn outcome_of(end: AttemptEnd, established: bool, give_up_reason: Option<Outcome>) -> Outcome {
+pub fn outcome_of(end: ObservedEnd, established: bool, give_up_reason: Option<Outcome>) -> Outcome {
     match end {
-        AttemptEnd::Released(Cause::NORMAL | Cause(31), _) if established => Outcome::Success,
+        ObservedEnd::Released(Cause::NORMAL | Cause(31), _) if established => Outcome::Success,
         _ if established => Outcome::Broken,
-        AttemptEnd::ReleasedUnanswered(Cause::NORMAL) => Outcome::Success,
-        AttemptEnd::ReleasedUnanswered(_) => Outcome::Broken,
-        AttemptEnd::Released(Cause::NO_CIRCUIT, RefusalNote::Throttled) => Outcome::ProcessorFull,
-        AttemptEnd::Released(Cause::NO_CIRCUIT, _) => Outcome::Overloaded,
-        AttemptEnd::Released(Cause::TIMER_EXPIRY, _) => Outcome::Void,
-        AttemptEnd::Released(Cause::TEMPORARY_FAILURE, _) => Outcome::Broken,
-        AttemptEnd::Released(..) => Outcome::Failure,
-        AttemptEnd::GivenUp => give_up_reason.unwrap_or(Outcome::Withdrawn),
+        ObservedEnd::ReleasedUnanswered(Cause::NORMAL) => Outcome::Success,
+        ObservedEnd::ReleasedUnanswered(_) => Outcome::Broken,
+        ObservedEnd::Released(Cause::NO_CIRCUIT, RefusalNote::Throttled) => Outcome::ProcessorFull,
+        ObservedEnd::Released(Cause::NO_CIRCUIT, _) => Outcome::Overloaded,
+        ObservedEnd::Released(Cause::TIMER_EXPIRY, _) => Outcome::Void,
+        ObservedEnd::Released(Cause::TEMPORARY_FAILURE, _) => Outcome::Broken,
+        ObservedEnd::Released(..) => Outcome::Failure,
+        ObservedEnd::GivenUp => give_up_reason.unwrap_or(Outcome::Withdrawn),
         // A give-up that was decided before the connection was lost determines the outcome.
-        AttemptEnd::ConnectionLost => give_up_reason.unwrap_or(Outcome::Broken),
-        AttemptEnd::CancelledUnsent | AttemptEnd::Unreachable | AttemptEnd::NotSentDraining => {
+        ObservedEnd::ConnectionLost => give_up_reason.unwrap_or(Outcome::Broken),
+        ObservedEnd::CancelledUnsent | ObservedEnd::Unreachable | ObservedEnd::NotSentDraining => {
             Outcome::Unreachable
         }
-        AttemptEnd::NotSentExpired => Outcome::Void,
+        ObservedEnd::NotSentExpired => Outcome::Void,
     }
 }
 
--- a/src/learning/encoding.rs
+++ b/src/learning/encoding.rs
@@ -3,7 +3,7 @@
 //! A new version adds a module and a migration from the version before it; the older modules do not change.
 
 use super::{Identity, LearnedHub, LearnedState};
-use crate::interface::{Belief, Micros};
+use crate::interface::{Micros, ServerEstimate};
 use miniserde::{json, Deserialize, Serialize};
 
 /// Snapshot kind of the learned state.
@@ -135,7 +135,7 @@
                 place: h.place,
                 born: h.born.map(Micros),
             };
-            let belief = Belief {
+            let belief = ServerEstimate {
                 carried: h.carried,
                 heard: Micros(h.heard),
                 carries: h.carries,
--- a/src/learning/mod.rs
+++ b/src/learning/mod.rs
@@ -9,7 +9,7 @@
 
 pub use encoding::{decode, encode, KIND, VERSION};
 
-use crate::interface::{Belief, Micros};
+use crate::interface::{Micros, ServerEstimate};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -47,7 +47,7 @@
     /// The hub process.
     pub hub: Identity,
     /// The decision module's estimates for this hub.
-    pub belief: Belief,
+    pub belief: ServerEstimate,
 }
 
 /// Learned state of all hubs at one point in time.
@@ -107,7 +107,7 @@
 }
 
 /// Whether all values of a belief lie in their plausible ranges.
-fn is_plausible(belief: &Belief) -> bool {
+fn is_plausible(belief: &ServerEstimate) -> bool {
     let rate = |r: f64| (0.0..=MAX_SET_UPS_PER_SECOND).contains(&r);
     let fraction = |p: f64| (0.0..=1.0).contains(&p);
     rate(belief.carried)
@@ -121,11 +121,11 @@
 }
 
 /// Decays a belief of this age: each value moves towards the default of a start without saved state.
-fn decayed(belief: &Belief, age: Micros, now: Micros, settings: &DecaySettings) -> Belief {
+fn decayed(belief: &ServerEstimate, age: Micros, now: Micros, settings: &DecaySettings) -> ServerEstimate {
     let (load, rate) = (remaining_weight(age, settings.load), remaining_weight(age, settings.rate));
     let decay_to_one = |figure: f64| 1.0 - (1.0 - figure) * load;
     let drop_if_stale = |figure: f64, weight: f64| if weight >= MIN_REMAINING_WEIGHT { figure } else { 0.0 };
-    Belief {
+    ServerEstimate {
         carried: drop_if_stale(belief.carried, remaining_weight(age, settings.capacity)),
         heard: belief.heard,
         carries: drop_if_stale(belief.carries, rate),
@@ -206,7 +206,7 @@
     /// Returns the belief about a hub that a list names for the first time since the start. It is returned
     /// only once, and only for the same hub process: one with another start time is cold, and one with
     /// another address or place is another machine, so the saved capacity would overload it.
-    pub fn recall(&mut self, hub: &Identity, now: Micros) -> Option<Belief> {
+    pub fn recall(&mut self, hub: &Identity, now: Micros) -> Option<ServerEstimate> {
         let kept = self.hubs.remove(&hub.uid).filter(|kept| kept.hub == *hub)?;
         // The age counts from when the hub was last heard of. Counted from the time of the save, a belief
         // that was restored and saved again without news of the hub would appear fresh.
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -381,10 +381,10 @@
         (FromHub::ConnectionLost(CallName(1), attempt), true, true),
         (given_up(true), true, true),
     ];
-    for effect in [Effect::Free, Effect::Guarded, Effect::SingleShot] {
+    for effect in [Idempotency::Free, Idempotency::Guarded, Idempotency::SingleShot] {
         for (end, may_have_run, pause) in &ends {
             let case = format!("{effect:?}, {end:?}");
-            let mut harness = Harness::with(|config| config.settings.classes[0].effect = effect);
+            let mut harness = Harness::with(|config| config.settings.classes[0].idempotency = effect);
             harness.offer(1, 0);
             assert_eq!(harness.next_set_up(0), Some(attempt), "{case}");
             harness.hub_event(0, end.clone());
@@ -392,7 +392,7 @@
             let immediately = harness.next_set_up(0).or(harness.next_set_up(1)).is_some();
             harness.advance(20_000);
             let later = harness.next_set_up(0).or(harness.next_set_up(1)).is_some();
-            let repeated = effect == Effect::Free || !may_have_run;
+            let repeated = effect == Idempotency::Free || !may_have_run;
             assert_eq!((immediately, later), (repeated && !pause, repeated && *pause), "{case}");
             if !repeated {
                 assert!(matches!(harness.next_message(), Some(ToFront::Fail(..))), "{case}: it may have run");
@@ -402,7 +402,7 @@
         // Void, or expired before its first byte: nothing ran, so the call may be refused.
         for end in [released(102, RefusalNote::None), FromHub::NotSent(CallName(1), attempt)] {
             let late = matches!(end, FromHub::NotSent(..));
-            let mut harness = Harness::with(|config| config.settings.classes[0].effect = effect);
+            let mut harness = Harness::with(|config| config.settings.classes[0].idempotency = effect);
             harness.offer(1, 0);
             harness.now += if late { 3 * SECOND } else { 0 };
             harness.hub_event(0, end);
@@ -568,7 +568,12 @@
 
 fn learned_hub(uid: &str, endpoint: &str, place: i64) -> LearnedHub {
     let hub = Identity { uid: uid.into(), endpoint: endpoint.into(), place, born: None };
-    let belief = Belief { heard: Micros(START - SECOND), pass: 0.1, carries: 3.0, ..Belief::default() };
+    let belief = ServerEstimate {
+        heard: Micros(START - SECOND),
+        pass: 0.1,
+        carries: 3.0,
+        ..ServerEstimate::default()
+    };
     LearnedHub { hub, belief }
 }
 
@@ -652,8 +657,10 @@
 
 #[test]
 fn a_call_that_may_have_run_is_neither_refused_nor_repeated_unless_its_class_allows() {
-    for (effect, refused) in [(Effect::Free, true), (Effect::Guarded, false), (Effect::SingleShot, false)] {
-        let mut harness = Harness::with(|config| config.settings.classes[0].effect = effect);
+    for (effect, refused) in
+        [(Idempotency::Free, true), (Idempotency::Guarded, false), (Idempotency::SingleShot, false)]
+    {
+        let mut harness = Harness::with(|config| config.settings.classes[0].idempotency = effect);
         for call in [1, 2] {
             harness.offer(call, 0);
         }
--- a/tests/learning.rs
+++ b/tests/learning.rs
@@ -1,7 +1,7 @@
 //! Tests of the learned state: its encoding and old versions, its decay with age, and which hub it is
 //! restored for.
 
-use petreldock::interface::{Belief, Micros};
+use petreldock::interface::{Micros, ServerEstimate};
 use petreldock::learning::{
     decode, encode, DecaySettings, Identity, LearnedHub, LearnedState, RestoredState, MAX_HUBS, VERSION,
 };
@@ -15,8 +15,8 @@
     Identity { uid: uid.into(), endpoint: "10.0.0.1:1".into(), place: 2, born: None }
 }
 
-fn belief() -> Belief {
-    Belief {
+fn belief() -> ServerEstimate {
+    ServerEstimate {
         heard: SAVED_AT,
         carried: 25.0,
         carries: 8.0,
@@ -38,7 +38,7 @@
 }
 
 /// Returns the belief restored for a hub this many microseconds after it was saved.
-fn restored_after(age: u64) -> Option<Belief> {
+fn restored_after(age: u64) -> Option<ServerEstimate> {
     let now = SAVED_AT + Micros(age);
     RestoredState::new(learned_state(&["a"]), DecaySettings::default(), now).0.recall(&identity("a"), now)
 }
@@ -153,7 +153,7 @@
 fn an_encoded_state_decodes_to_the_same_state() {
     let mut kept = learned_state(&["a", "b\"\\\u{e9}\n"]);
     kept.hubs[1].hub.born = Some(Micros(7));
-    kept.hubs[1].belief = Belief { carried: 0.1 + 0.2, ..Belief::default() };
+    kept.hubs[1].belief = ServerEstimate { carried: 0.1 + 0.2, ..ServerEstimate::default() };
     assert_eq!(decode(VERSION, &encode(&kept)), Ok(kept));
 }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -53,11 +53,11 @@
         })?;
         match outcome {
             Some(Outcome::Success) => {
-                target.handle(now, Event::Stands(id, server, 0, Micros(40_000)), &mut actions)
+                target.handle(now, Event::Established(id, server, 0, Micros(40_000)), &mut actions)
             }
             Some(outcome) => {
                 let (over, number_busy, report) = (true, false, Report::default());
-                let end = End { id, attempt: 0, server, outcome, over, number_busy, report };
+                let end = AttemptEnd { id, attempt: 0, server, outcome, over, number_busy, report };
                 target.handle(now, Event::Ended(end), &mut actions);
             }
             None => {}
@@ -81,7 +81,7 @@
 }
 
 fn entry(server: u64, born: Option<Micros>) -> Entry {
-    Entry { server: ServerId(server), place: server as i64, phase: Phase::Up, born, told: None }
+    Entry { server: ServerId(server), place: server as i64, phase: Phase::Up, born, phase_since: None }
 }
 
 /// Returns the greatest number of attempts within any window of this length.
