--- a/src/iax2/hub.rs
+++ b/src/iax2/hub.rs
@@ -365,7 +365,7 @@
     clock: Clock,
     core: mpsc::Sender<Input>,
 ) -> mpsc::Sender<ToHub> {
-    let (sender, commands) = mpsc::channel(crate::net::hub::COMMANDS);
+    let (sender, commands) = mpsc::channel(crate::net::hub::COMMAND_QUEUE_CAPACITY);
     tokio::spawn(run(id, local, hub, clock, core, commands));
     sender
 }
--- a/src/net/binary.rs
+++ b/src/net/binary.rs
@@ -60,7 +60,7 @@
 
 /// The bytes are no message; the connection cannot be read on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Garbled;
+pub struct MalformedMessage;
 
 impl<'a> Message<'a> {
     /// The first parameter of that code.
@@ -82,9 +82,9 @@
     pub fn report(&self) -> Report {
         let mut report = Report::default();
         for part in self.text(code::REPORT).unwrap_or("").split(';') {
-            if let Some((name, figure)) = part.split_once(':') {
-                if let Ok(figure) = figure.trim().parse() {
-                    Names::store(&mut report, name.trim(), figure);
+            if let Some((name, value)) = part.split_once(':') {
+                if let Ok(value) = value.trim().parse() {
+                    Names::store(&mut report, name.trim(), value);
                 }
             }
         }
@@ -97,17 +97,17 @@
 }
 
 /// Reads the message that the input begins with; `None`: it is not all there yet.
-pub fn parse(input: &[u8]) -> Result<Option<Message<'_>>, Garbled> {
+pub fn parse(input: &[u8]) -> Result<Option<Message<'_>>, MalformedMessage> {
     let Some((length, rest)) = input.split_first_chunk::<2>() else { return Ok(None) };
     let length = usize::from(u16::from_be_bytes(*length));
     if length < 9 || length + 2 > MESSAGE_MOST {
-        return Err(Garbled);
+        return Err(MalformedMessage);
     }
     let Some(content) = rest.get(..length) else { return Ok(None) };
     let (kind, call, parameters) =
         (u8::<_, winnow::error::ErrMode<winnow::error::ContextError>>, be_u64, repeat(0.., parameter))
             .parse(content)
-            .map_err(|_| Garbled)?;
+            .map_err(|_| MalformedMessage)?;
     Ok(Some(Message { kind, call, parameters, bytes: length + 2 }))
 }
 
--- a/src/net/dial.rs
+++ b/src/net/dial.rs
@@ -16,10 +16,10 @@
 async fn dial_with(
     address: SocketAddr,
     limit: Duration,
-    tune: impl FnOnce(&TcpSocket) -> io::Result<()>,
+    set_options: impl FnOnce(&TcpSocket) -> io::Result<()>,
 ) -> io::Result<TcpStream> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    if let Err(error) = tune(&socket) {
+    if let Err(error) = set_options(&socket) {
         tracing::debug!(%address, "no TCP_NODELAY: {error}");
     }
     timeout(limit, socket.connect(address)).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
--- a/src/net/hub/liveness.rs
+++ b/src/net/hub/liveness.rs
@@ -2,9 +2,9 @@
 //!
 //! | what happened to a dial | no connection is open | connections are open and silent |
 //! | --- | --- | --- |
-//! | refused | dead at once | dead after [`MAX_SILENCE`], with a test message unanswered: one that drains may only have closed its listener |
-//! | timed out, unreachable | dead after [`MAX_FAILING`] of such dials | dead after [`MAX_SILENCE_UNREACHABLE`] |
-//! | came up, and the hub does not speak on it | dead after [`MAX_SILENCE`] | dead after [`MAX_SILENCE`] |
+//! | refused | dead at once | dead after [`SILENCE_TIMEOUT`], with a test message unanswered: one that drains may only have closed its listener |
+//! | timed out, unreachable | dead after [`DIAL_FAILURE_TIMEOUT`] of such dials | dead after [`UNREACHABLE_SILENCE_TIMEOUT`] |
+//! | came up, and the hub does not speak on it | dead after [`SILENCE_TIMEOUT`] | dead after [`SILENCE_TIMEOUT`] |
 //!
 //! Only what the hub says is a sign of life: the kernel of its machine accepts connections for a process that
 //! hangs. A hub says its state before anything else on each new connection (PROTOCOL, 'Table hubs'), so that a new
@@ -14,21 +14,21 @@
 use tokio::time::{Duration, Instant};
 
 /// Dials that got no answer for this long, with no connection open: the machine has vanished.
-const MAX_FAILING: Duration = Duration::from_millis(2_500);
+const DIAL_FAILURE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Silence after which a dial without an answer shows that the machine has vanished.
-const MAX_SILENCE_UNREACHABLE: Duration = Duration::from_millis(4_500);
+const UNREACHABLE_SILENCE_TIMEOUT: Duration = Duration::from_millis(4_500);
 /// Silence after which a question without an answer shows that the process hangs. The calls that stood there are
 /// released within 8 s of its last word, and their releases may have to be repeated for 0.7 s.
-const MAX_SILENCE: Duration = Duration::from_millis(6_500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(6_500);
 /// A question that is open for less than this shows nothing.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1_500);
+const PROBE_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// What is known of one hub's process.
 pub(super) struct Liveness {
     /// When the hub last said anything, on whichever connection.
-    heard: Instant,
+    last_heard: Instant,
     /// Since when it has left a question unanswered.
-    asked: Option<Instant>,
+    probe_pending_since: Option<Instant>,
     /// Since when all dials have failed.
     failing_since: Option<Instant>,
 }
@@ -36,28 +36,28 @@
 impl Liveness {
     /// A hub of which nothing is known yet.
     pub(super) fn new(now: Instant) -> Liveness {
-        Liveness { heard: now, asked: None, failing_since: None }
+        Liveness { last_heard: now, probe_pending_since: None, failing_since: None }
     }
 
     /// The hub said something.
-    pub(super) fn heard(&mut self, now: Instant) {
+    pub(super) fn record_heard(&mut self, now: Instant) {
         *self = Liveness::new(now);
     }
 
     /// A connection came up: the hub has to say its state on it.
-    pub(super) fn dial_came_up(&mut self, now: Instant) {
+    pub(super) fn record_connected(&mut self, now: Instant) {
         self.failing_since = None;
-        self.asked(now);
+        self.record_probe(now);
     }
 
     /// The hub owes a word from now on.
-    pub(super) fn asked(&mut self, now: Instant) {
-        self.asked.get_or_insert(now);
+    pub(super) fn record_probe(&mut self, now: Instant) {
+        self.probe_pending_since.get_or_insert(now);
     }
 
     /// Whether it owes a word.
-    pub(super) fn is_asked(&self) -> bool {
-        self.asked.is_some()
+    pub(super) fn is_probe_pending(&self) -> bool {
+        self.probe_pending_since.is_some()
     }
 
     /// Whether a dial that failed shows that the hub is dead. `open`: connections are open. Danger: an error of our
@@ -71,23 +71,23 @@
         match error {
             ConnectionRefused => !open,
             TimedOut | HostUnreachable | NetworkUnreachable if open => {
-                self.silence(now) >= MAX_SILENCE_UNREACHABLE
+                self.silence(now) >= UNREACHABLE_SILENCE_TIMEOUT
             }
-            TimedOut | HostUnreachable | NetworkUnreachable => failing >= MAX_FAILING,
+            TimedOut | HostUnreachable | NetworkUnreachable => failing >= DIAL_FAILURE_TIMEOUT,
             _ => false,
         }
     }
 
     /// For how long the hub has said nothing.
     pub(super) fn silence(&self, now: Instant) -> Duration {
-        now - self.heard
+        now - self.last_heard
     }
 
     /// Whether the hub left a question unanswered for so long that its process hangs. What waits to be read must be
     /// taken in before.
     pub(super) fn is_unresponsive(&self, now: Instant) -> bool {
-        let unanswered = self.asked.is_some_and(|since| now - since >= ANSWER_WITHIN);
-        unanswered && self.silence(now) >= MAX_SILENCE
+        let unanswered = self.probe_pending_since.is_some_and(|since| now - since >= PROBE_ANSWER_TIMEOUT);
+        unanswered && self.silence(now) >= SILENCE_TIMEOUT
     }
 }
 
--- a/src/net/hub/liveness/tests.rs
+++ b/src/net/hub/liveness/tests.rs
@@ -32,12 +32,12 @@
     let mut liveness = Liveness::new(start);
     let late = start + 2 * LONG;
     assert!(!liveness.is_unresponsive(late), "nothing was asked");
-    liveness.dial_came_up(late);
+    liveness.record_connected(late);
     assert!(!liveness.is_unresponsive(late + SHORT), "asked just now");
-    assert!(liveness.is_unresponsive(late + ANSWER_WITHIN));
-    liveness.heard(late + ANSWER_WITHIN);
+    assert!(liveness.is_unresponsive(late + PROBE_ANSWER_TIMEOUT));
+    liveness.record_heard(late + PROBE_ANSWER_TIMEOUT);
     assert!(!liveness.is_unresponsive(late + 2 * LONG), "it answered");
-    liveness.dial_came_up(late + ANSWER_WITHIN);
-    assert!(!liveness.is_unresponsive(late + LONG), "silent for less than {MAX_SILENCE:?}");
+    liveness.record_connected(late + PROBE_ANSWER_TIMEOUT);
+    assert!(!liveness.is_unresponsive(late + LONG), "silent for less than {SILENCE_TIMEOUT:?}");
     assert!(liveness.is_unresponsive(late + 2 * LONG));
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -84,10 +84,10 @@
     assert_eq!((message.kind, message.call, message.cause()), (12, 0x9b1f, Some(34)));
     let report = message.report();
     assert_eq!((report.free, report.size, report.can_take), (Some(12.0), Some(40.0), Some(3.5)));
-    assert_eq!(binary::parse(&[0xff, 0xff, 1]), Err(binary::Garbled), "longer than any message");
-    assert_eq!(binary::parse(&[0, 8, 1]), Err(binary::Garbled), "shorter than any message");
+    assert_eq!(binary::parse(&[0xff, 0xff, 1]), Err(binary::MalformedMessage), "longer than any message");
+    assert_eq!(binary::parse(&[0, 8, 1]), Err(binary::MalformedMessage), "shorter than any message");
     let cut_parameter = [0, 11, 12, 0, 0, 0, 0, 0, 0, 0, 1, 128, 0];
-    assert_eq!(binary::parse(&cut_parameter), Err(binary::Garbled));
+    assert_eq!(binary::parse(&cut_parameter), Err(binary::MalformedMessage));
     assert!(!binary::write(&mut Vec::new(), 1, 1, &[(130, &[0; 16_384])]), "over 16 KiB");
 }
 
