--- a/examples/toy_hub.rs
+++ b/examples/toy_hub.rs
@@ -1,4 +1,4 @@
-//! A toy table hub: answers each set-up, and lets a call end after a few seconds.
+//! A minimal table hub for trials: answers every set-up and releases each call after a few seconds.
 //!
 //!     cargo run --example toy_hub -- 127.0.0.1:5071
 
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a call lasts.
-const HOLD: Duration = Duration::from_secs(5);
-/// What the hub describes itself with.
+/// Duration of a call.
+const CALL_DURATION: Duration = Duration::from_secs(5);
+/// SDP description sent with each answer.
 const DESCRIPTION: &[u8] = b"v=0\r\nc=IN IP4 127.0.0.1\r\nm=audio 31000 RTP/AVP 0\r\n";
 
 fn main() -> io::Result<()> {
@@ -29,6 +29,7 @@
     Ok(())
 }
 
+/// Writes one message; the threads that end calls share the stream with the reader.
 fn send(to: &Mutex<TcpStream>, kind: u8, call: u64, parameters: &[(u8, &[u8])]) -> io::Result<()> {
     let mut bytes = Vec::new();
     if !binary::write(&mut bytes, kind, call, parameters) {
@@ -37,6 +38,7 @@
     to.lock().map_err(|_| io::ErrorKind::Other)?.write_all(&bytes)
 }
 
+/// Serves one connection: sends the hub's state, then handles messages until the peer closes.
 fn serve(mut stream: TcpStream) -> io::Result<()> {
     let writer = Arc::new(Mutex::new(stream.try_clone()?));
     send(&writer, kind::STATE, 0, &[(code::REPORT, b"x0:100;x1:100")])?;
@@ -47,8 +49,8 @@
             return Ok(());
         }
         input.extend_from_slice(&bytes[..count]);
-        while let Some(message) =
-            binary::parse(&input).map_err(|_| io::Error::new(io::ErrorKind::InvalidData, "garbled"))?
+        while let Some(message) = binary::parse(&input)
+            .map_err(|_| io::Error::new(io::ErrorKind::InvalidData, "malformed message"))?
         {
             let call = message.call;
             match message.kind {
@@ -57,11 +59,11 @@
                     println!("{call:016x}: {} calls {}", text(code::CLASS), text(code::NUMBER));
                     let report: (u8, &[u8]) = (code::REPORT, b"x0:99;x1:100;qps:20");
                     send(&writer, kind::ANSWER, call, &[(code::DESCRIPTION, DESCRIPTION)])?;
-                    let later = writer.clone();
+                    let release_writer = writer.clone();
                     thread::spawn(move || {
-                        thread::sleep(HOLD);
-                        // A connection that is gone by then hears nothing.
-                        let _ = send(&later, kind::RELEASE, call, &[(code::CAUSE, &[16]), report]);
+                        thread::sleep(CALL_DURATION);
+                        // The error is ignored: the connection may be closed by then.
+                        let _ = send(&release_writer, kind::RELEASE, call, &[(code::CAUSE, &[16]), report]);
                     });
                 }
                 kind::RELEASE => println!("{call:016x}: released, cause {:?}", message.cause()),
--- a/src/net/binary.rs
+++ b/src/net/binary.rs
@@ -1,4 +1,8 @@
-//! The table hubs' binary messages: a length, a type, the call, and parameters.
+//! Codec of the binary protocol of table hubs.
+//!
+//! A message has a length (2 bytes), a type (1 byte), a call id (8 bytes) and any number of parameters, each with a code
+//! (1 byte), a length (2 bytes) and a value. All numbers are big-endian, and the message's length leaves out its own
+//! two bytes.
 
 use super::buffer::MESSAGE_MOST;
 use crate::config::Names;
@@ -9,76 +13,76 @@
 
 /// Message types.
 pub mod kind {
-    /// Set-up.
+    /// Sets a call up.
     pub const SET_UP: u8 = 1;
-    /// Progress.
+    /// Progress of a set-up.
     pub const PROGRESS: u8 = 6;
-    /// Answer.
+    /// Answers a set-up: the call stands.
     pub const ANSWER: u8 = 9;
-    /// Refusal, give-up or release.
+    /// Refuses a set-up, gives it up, or releases a call that stands.
     pub const RELEASE: u8 = 12;
-    /// Release heard.
+    /// Acknowledges a release.
     pub const RELEASE_HEARD: u8 = 16;
-    /// State of a group.
+    /// Reports the state of a hub.
     pub const STATE: u8 = 43;
-    /// Test.
+    /// Asks whether the hub is alive; concerns no call.
     pub const TEST: u8 = 52;
-    /// Test passed or failed.
+    /// Result of a test.
     pub const TESTED: u8 = 53;
 }
 
 /// Parameter codes.
 pub mod code {
-    /// The class.
+    /// Name of the call's class.
     pub const CLASS: u8 = 100;
-    /// How long the sender waits, in milliseconds.
+    /// How long the sender waits for an answer, in milliseconds.
     pub const WAIT: u8 = 102;
-    /// The number called.
+    /// The called number.
     pub const NUMBER: u8 = 108;
-    /// A note with a refusal.
+    /// Text that qualifies a refusal.
     pub const NOTE: u8 = 114;
-    /// A load report.
+    /// Load report of the hub.
     pub const REPORT: u8 = 118;
-    /// The cause.
+    /// Cause (Q.850) of a release.
     pub const CAUSE: u8 = 128;
-    /// The description.
+    /// Description (SDP) of the session.
     pub const DESCRIPTION: u8 = 130;
 }
 
-/// One message.
+/// A parsed message that borrows its parameters from the input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// Its type.
+    /// Message type, one of [`kind`].
     pub kind: u8,
-    /// The call it names.
+    /// Id of the call that the message concerns.
     pub call: u64,
-    /// Its parameters, in order.
+    /// Parameters in order of arrival, each as its code and value.
     pub parameters: Vec<(u8, &'a [u8])>,
-    /// Its length with all.
+    /// Length of the encoded message, including its length field.
     pub bytes: usize,
 }
 
-/// The bytes are no message; the connection cannot be read on.
+/// The input is not a valid message. The position of the next message is unknown, so the connection is unusable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedMessage;
 
 impl<'a> Message<'a> {
-    /// The first parameter of that code.
+    /// The value of the first parameter with this code.
     pub fn parameter(&self, code: u8) -> Option<&'a [u8]> {
         self.parameters.iter().find(|(c, _)| *c == code).map(|(_, v)| *v)
     }
 
-    /// A parameter's text.
+    /// The value of a parameter as text, if it is valid UTF-8.
     pub fn text(&self, code: u8) -> Option<&'a str> {
         self.parameter(code).and_then(|v| std::str::from_utf8(v).ok())
     }
 
-    /// The cause, if there is one of one byte.
+    /// The first byte of the cause parameter, if there is one.
     pub fn cause(&self) -> Option<u8> {
         self.parameter(code::CAUSE).and_then(|v| v.first().copied())
     }
 
-    /// The load report, as in `x0:12;x1:40;queue:3`; what cannot be read of it is left out.
+    /// The load report, in the form `x0:12;x1:40;queue:3`. Entries that cannot be parsed are left out.
     pub fn report(&self) -> Report {
         let mut report = Report::default();
         for part in self.text(code::REPORT).unwrap_or("").split(';') {
@@ -92,11 +96,12 @@
     }
 }
 
+/// Parses one parameter into its code and value.
 fn parameter<'a>(input: &mut &'a [u8]) -> ModalResult<(u8, &'a [u8])> {
     (u8, length_take(be_u16)).parse_next(input)
 }
 
-/// Reads the message that the input begins with; `None`: it is not all there yet.
+/// Parses the message at the start of the input; returns `None` if it is not complete yet.
 pub fn parse(input: &[u8]) -> Result<Option<Message<'_>>, MalformedMessage> {
     let Some((length, rest)) = input.split_first_chunk::<2>() else { return Ok(None) };
     let length = usize::from(u16::from_be_bytes(*length));
@@ -111,7 +116,7 @@
     Ok(Some(Message { kind, call, parameters, bytes: length + 2 }))
 }
 
-/// Writes a message. What would not fit is left out whole: `false`.
+/// Appends an encoded message to `out`. Returns `false` and appends nothing if it would exceed the maximum size.
 pub fn write(out: &mut Vec<u8>, kind: u8, call: u64, parameters: &[(u8, &[u8])]) -> bool {
     let length = 9 + parameters.iter().map(|(_, v)| 3 + v.len()).sum::<usize>();
     if length + 2 > MESSAGE_MOST {
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -1,7 +1,8 @@
-//! The link to one table hub: up to four connections, one task.
+//! The link to one table hub: one task that owns up to four TCP connections.
 //!
-//! Set-ups wait in a queue until their first byte can go out, so that they can be taken back; a hub
-//! that stops reading blocks no other. What the link tells the core, it tells in the hub's order.
+//! Each link has its own task, so that a hub that stops reading delays no other hub. Set-ups are queued until the
+//! first byte can be written, so that they can still be withdrawn. Events reach the core in the order in which the
+//! hub sent the messages behind them.
 
 mod connection;
 mod liveness;
@@ -29,48 +30,51 @@
 use tokio::task::JoinSet;
 use tokio::time::{Duration, Instant};
 
-/// Commands that may wait for a link; each call has a few at most.
+/// Capacity of a link's command channel. Each call sends a few commands at most.
 pub const COMMAND_QUEUE_CAPACITY: usize = 65_536;
-/// Connections to one hub at most,
+/// Maximum number of connections to one hub.
 const MAX_CONNECTIONS: usize = 4;
-/// ... and as many as are kept up: what one of them loses, the other shows.
+/// Number of connections that are kept open. With two, a failure of one shows while the other still carries traffic.
 const TARGET_CONNECTIONS: usize = 2;
-/// New connections that end unheard: the first two are dialled again at once, then this passes.
+/// Delay before the next dial once [`RESETS_BEFORE_DELAY`] connections in a row have ended without a byte received.
 const RESET_REDIAL_DELAY: Duration = Duration::from_millis(100);
-const MAX_IMMEDIATE_REDIALS: u32 = 2;
-/// Before a set-up begins, the runtime's tasks have so many turns: one in which the fronts read what came to their
-/// sockets, one in which the core hears of it, and one more if it looked at its clock in between. Danger: where the
-/// processor is short, a hub that reads on is seen before the departure of a caller that came long before it.
+/// Number of consecutive connections that may end without a byte received before redials are delayed.
+const RESETS_BEFORE_DELAY: u32 = 2;
+/// Number of times that the link yields to the runtime before a set-up begins: once for the fronts to read their
+/// sockets, once for the core to process what they read, and once more in case the core checks its clock in between.
+/// Without the yields, on a machine short of CPU time, the link would see that the hub is reading again before it
+/// learns that the caller left long before.
 const YIELDS_BEFORE_SET_UP: usize = 3;
-/// Looks that took longer than this do not count, as the process may have been stopped or starved since the sockets
-/// were polled,
+/// Longest time that the yields before a set-up may take. If they take longer, the process may have been stopped or
+/// starved after the sockets were polled, and the yields are repeated.
 const MAX_YIELD_TIME: Duration = Duration::from_millis(20);
-/// ... and are repeated so often at most: a processor that is short for good does not hold set-ups up.
+/// Maximum number of repetitions of the yields before a set-up, so that a permanent shortage of CPU time does not
+/// block set-ups.
 const MAX_YIELD_RETRIES: usize = 3;
-/// One look takes in so much of a connection at most.
+/// Maximum number of reads from one connection before the link turns to its other work.
 const MAX_READS_PER_WAKEUP: usize = 64;
-/// A failed dial is followed by the next after this, then twice that, and so on,
+/// Delay before the next dial after a failed one; it doubles with each further failure.
 const MIN_DIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// ... up to this.
+/// Upper bound of the delay between failed dials.
 const MAX_DIAL_BACKOFF: Duration = Duration::from_secs(1);
-/// A hub that has calls and said nothing for this long is dialled, to see whether it is there.
+/// Silence after which a hub with standing calls is dialled to check that it is alive.
 const QUIET_TIMEOUT: Duration = Duration::from_secs(3);
-/// Releases of calls that stand are looked for on a new connection, if the connection of their set-up has been
-/// silent, or gone, and no other has come up for this long. A hub repeats on the next connection what it could not
-/// tell, and within 8 s of its end a call must be released (PROTOCOL, 'The rules on sockets').
+/// A new connection is opened if, for this long, nothing was received on the connection that a standing call was set
+/// up on, or that connection is gone, and no other connection has been opened. A hub repeats on the next connection
+/// the releases that it could not deliver, and a call must be released within 8 s of its end.
 const CALL_CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
-/// A connection that owes answers and said nothing for this long gets another beside it.
+/// Silence after which a connection with unanswered set-ups gets another one beside it.
 const PENDING_ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A spare connection with nothing on it is closed after this.
+/// Time after which a surplus idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// ... and after this where there are more hubs than descriptors for them.
+/// Time after which a surplus idle connection is closed if there are more hubs than file descriptors for them.
 const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often the link maintenance after its connections.
+/// Interval of the checks for stalled, missing, silent and idle connections.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
-/// A release that no connection could take is of no use after this.
+/// Time after which a release that no connection could take is dropped, as it is of no use any more.
 const PARKED_RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The link's state.
+/// State of a link's task.
 struct Link {
     id: LinkId,
     address: Option<SocketAddr>,
@@ -78,29 +82,34 @@
     clock: Clock,
     connections: Vec<Connection>,
     dials: JoinSet<io::Result<(TcpStream, Door)>>,
-    /// Set-ups that wait for a connection.
+    /// Set-ups received while no connection is open.
     waiting_set_ups: VecDeque<SetUp>,
-    /// Releases that wait for one.
+    /// Releases received while no connection is open, with the time of their arrival.
     parked_releases: VecDeque<(Instant, CallName, Cause)>,
-    /// Calls that stand, with the connection of their set-up.
+    /// Calls that stand, each with the id of the connection it was set up on.
     standing_calls: HashMap<CallName, u64>,
+    /// No set-up may begin from this time on; set while the hub drains.
     not_after: Option<Micros>,
     next_dial: Option<Instant>,
     liveness: Liveness,
     backoff: Duration,
+    /// Number of connections opened so far; the id of the latest one.
     connections_opened: u64,
-    /// When the latest connection came up: what the hub had to say by then, it said there.
+    /// When the latest connection was opened. The hub has repeated on it what it could not deliver before.
     last_connected: Instant,
-    /// New connections in a row that ended before anything was heard.
-    unheard_connections: u32,
-    /// When the latest set-up began that came to stand, on whichever connection.
+    /// Number of consecutive connections that ended before a byte was received.
+    resets_in_a_row: u32,
+    /// The latest start among all set-ups that have been answered, on any connection.
     latest_answered_start: Option<Instant>,
+    /// Events for the core, sent at the end of each pass of the loop.
     events: Vec<FromHub>,
     connection_budget: doors::Link,
+    /// Number of give-ups and releases that are not written yet; the program waits for them before it exits.
     unsent_ends: Debt,
 }
 
-/// Starts a link's task; it ends at [`ToHub::Close`] or once the core is gone.
+/// Starts a link's task and returns its command channel. The task ends on [`ToHub::Close`], or once the core
+/// has dropped its end of either channel.
 pub fn start(
     id: LinkId,
     endpoint: &str,
@@ -127,7 +136,7 @@
         backoff: MIN_DIAL_BACKOFF,
         connections_opened: 0,
         last_connected: Instant::now(),
-        unheard_connections: 0,
+        resets_in_a_row: 0,
         latest_answered_start: None,
         events: Vec::new(),
         connection_budget: connection_budget.link(),
@@ -182,14 +191,14 @@
         }
     }
 
-    /// Whether a set-up may begin at the next write.
+    /// Whether a set-up is queued on a connection and may begin at the next write.
     fn has_queued_set_up(&self) -> bool {
         let set_up = |out: &Outgoing| matches!(out, Outgoing::SetUp(_));
         self.connections.iter().any(|c| c.queue.iter().any(set_up))
     }
 
-    /// Takes in all commands that wait; whether the link is closed. Danger: written one by one, a set-up whose
-    /// give-up waits behind it would run for nobody.
+    /// Handles all queued commands; returns whether the link is closed. Handling them before the next write prevents
+    /// a set-up from reaching the hub while its give-up is already queued behind it.
     fn drain_commands(&mut self, commands: &mut mpsc::Receiver<ToHub>) -> bool {
         while let Ok(command) = commands.try_recv() {
             if matches!(command, ToHub::Close) {
@@ -204,7 +213,7 @@
 
     fn handle_command(&mut self, command: ToHub) {
         match command {
-            // The one that owes least: a connection that answers no more collects no further set-ups.
+            // The least loaded connection, so that one that has stopped answering collects no further set-ups.
             ToHub::SetUp(set_up) => match self.connections.iter_mut().min_by_key(|c| c.load()) {
                 Some(connection) => connection.queue.push_back(Outgoing::SetUp(set_up)),
                 None => {
@@ -226,12 +235,12 @@
                 }
             }
             ToHub::NotAfter(at) => self.not_after = at,
-            // A call that crosses protocols carries no media.
+            // Calls between different protocols carry no media.
             ToHub::Media(..) | ToHub::Close => {}
         }
     }
 
-    /// Takes a set-up back that has not begun, else has the give-up written where it went.
+    /// Withdraws a set-up that has not begun; otherwise queues a give-up on the connection that it was written to.
     fn give_up(&mut self, call: CallName, attempt: u64) {
         let given_up = |began| FromHub::GivenUp { attempt, call, began };
         if let Some(at) = self.waiting_set_ups.iter().position(|s| s.attempt == attempt) {
@@ -248,14 +257,15 @@
                 return connection.queue.push_back(Outgoing::GiveUp(call, attempt));
             }
         }
-        // Answered or broken meanwhile. An answer that is on its way to the core stands at the hub.
+        // Answered or broken in the meantime. If the answer is on its way to the core, the call stands at the hub.
         if self.standing_calls.contains_key(&call) {
             self.handle_command(ToHub::Release(call, Cause::NORMAL));
         }
         self.events.push(given_up(true));
     }
 
-    /// Connections that are kept up: two, unless there are more hubs than descriptors. One where it is needed.
+    /// Number of connections to keep open: [`TARGET_CONNECTIONS`], or fewer if there are more hubs than file
+    /// descriptors, but at least one while calls or queued commands need it.
     fn target_connections(&self) -> usize {
         let needed = !self.waiting_set_ups.is_empty()
             || !self.parked_releases.is_empty()
@@ -263,6 +273,7 @@
         self.connection_budget.keeps(TARGET_CONNECTIONS).max(usize::from(needed))
     }
 
+    /// Starts a dial unless one is running or the maximum of connections is open.
     fn start_dial(&mut self) {
         if self.target_connections() == 0 {
             self.next_dial = None;
@@ -283,14 +294,15 @@
         }
     }
 
-    /// Dials at once, unless the hub takes connections only to reset them.
+    /// Dials at once, or after a delay if the hub accepts connections only to reset them.
     fn redial(&mut self) {
-        match self.unheard_connections < MAX_IMMEDIATE_REDIALS {
+        match self.resets_in_a_row < RESETS_BEFORE_DELAY {
             true => self.start_dial(),
             false => self.next_dial = self.next_dial.or(Some(Instant::now() + RESET_REDIAL_DELAY)),
         }
     }
 
+    /// Adds the new connection, or schedules the next dial and judges by the error whether the hub is dead.
     fn dial_finished(&mut self, result: io::Result<(TcpStream, Door)>) {
         let now = Instant::now();
         match result {
@@ -301,8 +313,8 @@
                     && !self.answers_overdue(now)
                     && self.standing_calls.is_empty()
                 {
-                    // It was dialled to see whether it is there; it is. Danger: where calls stand, the hub repeats
-                    // on it the releases that a silent connection swallowed.
+                    // The dial only checked that the hub is reachable, so the connection is dropped. While calls
+                    // stand it is kept, as the hub repeats on it the releases lost on a silent connection.
                     return;
                 }
                 self.last_connected = now;
@@ -310,7 +322,12 @@
                 self.connections_opened += 1;
                 metrics::HUB_DIALS.increment();
                 let open = self.connections.len() + 1;
-                tracing::debug!(link = self.id.0, connection = self.connections_opened, open, "up");
+                tracing::debug!(
+                    link = self.id.0,
+                    connection = self.connections_opened,
+                    open,
+                    "connection opened"
+                );
                 let mut queue: VecDeque<Outgoing> = self
                     .parked_releases
                     .drain(..)
@@ -321,7 +338,7 @@
                 self.close_silent(now, self.target_connections().max(1));
             }
             Err(error) => {
-                // Danger: what a hub said before waits to be read as long as the dial's end, and shows it alive.
+                // Messages that arrived during the dial are still unread and may show that the hub is alive.
                 self.read_all_connections();
                 metrics::HUB_DIAL_FAILURES.increment();
                 let (silent_ms, standing) =
@@ -336,8 +353,8 @@
                 if open {
                     self.probe_open_connections(now, error.kind());
                 }
-                // Danger: a process that died takes its calls with it, and nobody else tells. A refused
-                // connection proves that it is gone; a machine that vanished refuses nothing.
+                // The calls of a process that died are over, and nothing else reports that. A refused connection
+                // proves that the process is gone; a machine that failed does not even refuse.
                 if self.liveness.dial_failed(now, error.kind(), open)
                     && (open || !self.standing_calls.is_empty())
                 {
@@ -347,9 +364,9 @@
         }
     }
 
-    /// The hub is held to be dead. Danger: a hub that is only cut off still has what is open on its silent
-    /// connections, and may run it once it is back. A set-up is over when its connection is closed, not
-    /// before, and may have run.
+    /// Treats the hub as dead and closes its connections. A hub that is only cut off still holds the set-ups on its
+    /// silent connections and may run them when it is reachable again. A set-up is therefore settled only when its
+    /// connection is closed, and it may have run.
     fn declare_dead(&mut self, now: Instant, why: &str) {
         metrics::HUBS_DEAD.increment();
         let silent_ms = self.liveness.silence(now).as_millis() as u64;
@@ -361,7 +378,7 @@
         self.events.push(FromHub::Dead);
     }
 
-    /// Holds the hub to be dead where calls stand there and it answers nothing.
+    /// Declares the hub dead if it has standing calls and leaves probes unanswered.
     fn check_unresponsive(&mut self, now: Instant) {
         if self.standing_calls.is_empty() || !self.liveness.is_unresponsive(now) {
             return;
@@ -372,12 +389,12 @@
         }
     }
 
-    /// Closes all connections and settles all set-ups: what has begun may have run, the rest never did.
+    /// Closes all connections and settles all set-ups: those that have begun may have run, the others never did.
     fn close_all(&mut self) {
         let mut never_begun: Vec<SetUp> = self.waiting_set_ups.drain(..).collect();
         for connection in std::mem::take(&mut self.connections) {
             let open = connection.open_set_ups.len();
-            tracing::debug!(link = self.id.0, connection = connection.id, open, "closed");
+            tracing::debug!(link = self.id.0, connection = connection.id, open, "connection closed");
             never_begun.extend(self.settle(connection).into_iter().filter_map(|out| match out {
                 Outgoing::SetUp(set_up) => Some(set_up),
                 _ => None,
@@ -386,14 +403,14 @@
         self.events.extend(never_begun.into_iter().map(|s| FromHub::Unreachable(s.call, s.attempt)));
     }
 
-    /// Set-ups are out, and all connections that have any have been silent for long.
+    /// Whether set-ups are unanswered and every connection that has any was silent for [`PENDING_ANSWER_TIMEOUT`].
     fn answers_overdue(&self, now: Instant) -> bool {
         let mut pending = self.connections.iter().filter(|c| !c.open_set_ups.is_empty()).peekable();
         pending.peek().is_some() && pending.all(|c| now - c.last_heard >= PENDING_ANSWER_TIMEOUT)
     }
 
-    /// Whether a call stands whose release may have been swallowed. Danger: a connection that fell silent stays
-    /// open, and the hub goes on telling there what concerns the calls that were set up on it.
+    /// Whether the release of a standing call may have been lost. A connection that fell silent can stay open, and the
+    /// hub goes on sending there the messages of the calls that were set up on it.
     fn has_call_on_silent_connection(&self, now: Instant) -> bool {
         let heard_at = |id: &u64| {
             let connection = self.connections.iter().find(|connection| connection.id == *id);
@@ -403,8 +420,8 @@
         self.standing_calls.values().any(|id| now - heard_at(id) >= CALL_CONNECTION_TIMEOUT)
     }
 
-    /// Asks whether the hub is there: dials, if need be in place of a connection that is silent and spare. Where all
-    /// are open and none is spare, each has a set-up to which the hub owes an answer.
+    /// Checks that the hub is alive by dialling it, if necessary in place of a connection that is silent and idle. If
+    /// all connections are open and none is idle, each has a set-up that waits for an answer, which serves as the probe.
     fn probe(&mut self, now: Instant) {
         if self.connections.len() >= MAX_CONNECTIONS || self.connection_budget.full() {
             self.close_silent(now, 1);
@@ -415,13 +432,13 @@
         self.start_dial();
     }
 
-    /// Asks on the connections that are open, where a new one is refused or there is no descriptor for it: a hub that
-    /// drains may have closed its listener and go on with its calls, but it answers. Without leave to ask, a hub in
-    /// service that refuses connections and says nothing owes a word all the same.
+    /// Sends a test message on the open connections if a new one was refused or no file descriptor was left for it. A
+    /// draining hub may have closed its listener and keep its calls, but it answers tests. If the configuration forbids
+    /// tests, a hub in service that refuses connections and stays silent counts as probed all the same.
     fn probe_open_connections(&mut self, now: Instant, error: io::ErrorKind) {
         let refused = error == io::ErrorKind::ConnectionRefused;
-        let may_conclude = refused || error == doors::NONE_LEFT;
-        if !may_conclude || !self.is_quiet_with_calls(now) || self.liveness.is_probe_pending() {
+        let dial_unavailable = refused || error == doors::NONE_LEFT;
+        if !dial_unavailable || !self.is_quiet_with_calls(now) || self.liveness.is_probe_pending() {
             return;
         }
         if self.limits.may_probe {
@@ -432,13 +449,13 @@
         }
     }
 
-    /// Whether calls stand and nothing was heard for a while.
+    /// Whether calls stand and nothing was received on any connection for [`QUIET_TIMEOUT`].
     fn is_quiet_with_calls(&self, now: Instant) -> bool {
         !self.standing_calls.is_empty() && self.liveness.silence(now) >= QUIET_TIMEOUT
     }
 
-    /// Closes the connection that has been silent for longest, if there are more than `keep` and it owes nothing: calls
-    /// that stand belong to no connection.
+    /// Closes the idle connection that has been silent for longest, if more than `keep` are open. Calls that stand do
+    /// not depend on the connection they were set up on.
     fn close_silent(&mut self, now: Instant, keep: usize) {
         if self.connections.len() <= keep {
             return;
@@ -454,23 +471,23 @@
         }
     }
 
-    /// Closes a connection on which nothing is out or waits.
+    /// Closes a connection that has no unanswered set-ups and nothing to write.
     fn close_idle(&mut self, index: usize, why: &'static str) {
         let connection = self.connections.remove(index);
         let open = self.connections.len();
-        tracing::debug!(link = self.id.0, connection = connection.id, why, open, "closed");
+        tracing::debug!(link = self.id.0, connection = connection.id, why, open, "connection closed");
     }
 
-    /// Danger: an answer that was spoilt, stopped short or never came leaves a connection that stays open
-    /// and brings nothing more, not for its other set-ups nor for its calls that stand. It is closed, so
-    /// that they are settled, and the hub says on the next one what it had to say.
+    /// Closes stalled connections. After an answer that was corrupted, cut short or lost, a connection can stay open
+    /// and deliver nothing more, neither for its other set-ups nor for its standing calls. Closing it settles the
+    /// set-ups, and the hub repeats on the next connection what it could not deliver.
     fn close_stalled(&mut self) {
         let now = Instant::now();
         while let Some(index) =
             self.connections.iter().position(|c| c.is_stalled(now, self.latest_answered_start))
         {
-            // Danger: where the processor is short, what came long ago and the time limit are seen at the same
-            // moment, and one connection is read before the other: the answer may wait to be read.
+            // On a machine short of CPU time, the deadline may pass while the answer is already in the socket's
+            // buffer, as another connection is read first. So the connection is read once more before it is judged.
             let ended = self.read_available(index);
             let stalled = |c: &Connection| c.is_stalled(now, self.latest_answered_start);
             if ended || self.connections.get(index).is_some_and(stalled) {
@@ -479,7 +496,7 @@
         }
     }
 
-    /// Takes in what waits on any connection.
+    /// Reads and handles all that is available on every connection.
     fn read_all_connections(&mut self) {
         for index in (0..self.connections.len()).rev() {
             if self.read_available(index) {
@@ -488,7 +505,7 @@
         }
     }
 
-    /// Waits for no message: closes what is spare, opens a connection beside one that went silent.
+    /// Periodic checks: closes stalled and surplus connections, dials missing ones, and probes a silent hub.
     fn maintain(&mut self) {
         self.close_stalled();
         let now = Instant::now();
@@ -497,7 +514,7 @@
         }
         self.parked_releases.retain(|(since, ..)| now - *since < PARKED_RELEASE_TIMEOUT);
         self.check_unresponsive(now);
-        // Danger: a machine that vanished or is cut off says nothing, and its connections stay open.
+        // A machine that failed or is cut off sends nothing, and its connections stay open.
         let quiet = self.is_quiet_with_calls(now) && now - self.last_connected >= QUIET_TIMEOUT;
         if !self.connections.is_empty()
             && (quiet || self.answers_overdue(now) || self.has_call_on_silent_connection(now))
@@ -505,7 +522,7 @@
             self.probe(now);
         }
         let excess = self.connections.len().saturating_sub(self.target_connections());
-        // Danger: with more hubs than descriptors, what is idle here is missing elsewhere.
+        // With more hubs than file descriptors, an idle connection here takes the place of one needed elsewhere.
         let idle_limit = match (self.connection_budget.pressed(), self.connection_budget.full()) {
             (true, _) => Duration::ZERO,
             (false, true) => SCARCE_IDLE_TIMEOUT,
@@ -513,7 +530,7 @@
         };
         let idle = |c: &Connection| c.is_idle() && now - c.last_heard >= idle_limit;
         if let Some(index) = self.connections.iter().position(idle).filter(|_| excess > 0) {
-            // Danger: a release that came since, and waits to be read, would be lost with it.
+            // A release that is still unread would be lost with the connection, so it is read first.
             if self.read_available(index) {
                 self.connection_lost(index);
             } else if self.connections.get(index).is_some_and(idle) {
@@ -522,7 +539,7 @@
         }
     }
 
-    /// Takes in what the hub said on one connection.
+    /// Reads one connection after a wake-up, then closes those that this shows to be stalled.
     fn read_connection(&mut self, index: usize) {
         if self.read_available(index) {
             self.connection_lost(index);
@@ -530,7 +547,7 @@
         self.close_stalled();
     }
 
-    /// Takes in all that waits on a connection; whether it can be read no further.
+    /// Reads and handles what is available on a connection; returns whether the connection has ended.
     fn read_available(&mut self, index: usize) -> bool {
         for _ in 0..MAX_READS_PER_WAKEUP {
             let Some(connection) = self.connections.get_mut(index) else { return false };
@@ -538,7 +555,7 @@
                 Ok(count) if count > 0 => {
                     connection.last_heard = Instant::now();
                     self.liveness.record_heard(connection.last_heard);
-                    self.unheard_connections = 0;
+                    self.resets_in_a_row = 0;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
                 Ok(_) | Err(_) => return true,
@@ -550,7 +567,7 @@
         false
     }
 
-    /// Reads the messages that are there; whether they can be read on.
+    /// Handles all complete messages in the input buffer; returns `false` if the input is malformed.
     fn process_messages(&mut self, index: usize) -> bool {
         let Some(connection) = self.connections.get_mut(index) else { return false };
         let (mut malformed, mut whole) = (false, false);
@@ -585,8 +602,8 @@
         !malformed
     }
 
-    /// Whether it is the release, by cause 16, of a call whose set-up is out on another connection. It proves
-    /// that the call stood at the hub by this attempt or by an earlier one, and that it is over.
+    /// Whether the message is a release with cause 16 of a call whose set-up is on another connection. It proves that
+    /// the call stood at the hub by this attempt or an earlier one, and that it has ended.
     fn is_release_for_other_connection(&self, message: &Message, index: usize) -> bool {
         let is_release = message.kind == kind::RELEASE && message.cause() == Some(Cause::NORMAL.0);
         is_release
@@ -594,10 +611,10 @@
             && self.is_stale(message, index)
     }
 
-    /// Ends the call, and gives up the attempt that is out on another connection, which may be a later one.
+    /// Reports the end of the call and gives up its attempt on the other connection, which may be a later one.
     fn release_on_other_connection(&mut self, message: &Message) {
         let call = CallName(message.call);
-        tracing::debug!(%call, "release of a set-up on another connection");
+        tracing::debug!(%call, "release for a set-up on another connection");
         self.events.push(FromHub::ReleasedUnanswered(call, Cause::NORMAL, message.report()));
         let begun =
             self.connections.iter().find_map(|c| c.open_set_ups.get(&call)).map(|begun| begun.attempt);
@@ -607,7 +624,7 @@
         }
     }
 
-    /// Set-ups of which no byte is out.
+    /// Set-ups of which no byte has been written.
     fn queued_set_ups(&self) -> impl Iterator<Item = &SetUp> {
         let queued = self.connections.iter().flat_map(|connection| &connection.queue);
         let set_ups = queued.filter_map(|out| match out {
@@ -617,10 +634,10 @@
         self.waiting_set_ups.iter().chain(set_ups)
     }
 
-    /// Whether it is an answer or a refusal to an earlier set-up of a call that has been sent again on another
-    /// connection. Danger: the wire names calls, not attempts. Taken for the answer that is awaited, it would
-    /// tell the caller of a call that was given up; taken for a refusal, the call would go elsewhere while this
-    /// attempt is out; released, it would end the attempt that is out.
+    /// Whether the message answers or refuses an earlier set-up of a call that has since been sent on another
+    /// connection. Messages identify calls, not attempts. If a stale answer were matched to the current attempt, the
+    /// caller would be connected to a call that was given up; if a stale refusal were, the call would be sent to
+    /// another hub while this attempt is still open; and a release sent in reply would end the current attempt.
     fn is_stale(&self, message: &Message, index: usize) -> bool {
         let call = CallName(message.call);
         let open_here = self.connections.get(index).is_some_and(|c| c.open_set_ups.contains_key(&call));
@@ -635,7 +652,7 @@
                 || self.connections.iter().any(has_later_attempt))
     }
 
-    /// A connection is gone: its set-ups alone are broken, and what had not begun goes on elsewhere.
+    /// Removes a connection that has ended. Only the set-ups that had begun on it are broken; the others are queued again.
     fn connection_lost(&mut self, index: usize) {
         let connection = self.connections.remove(index);
         metrics::HUB_CONNECTIONS_LOST.increment();
@@ -645,23 +662,24 @@
             connection = connection.id,
             open = connection.open_set_ups.len(),
             spoilt = stalled,
-            "lost"
+            "connection lost"
         );
-        // Danger: a hub that resets what it accepted would be dialled as fast as it can.
-        self.unheard_connections += u32::from(connection.last_heard == connection.opened_at);
+        // Counted so that a hub that resets each connection it accepts is not dialled in a tight loop.
+        self.resets_in_a_row += u32::from(connection.last_heard == connection.opened_at);
         let unwritten = self.settle(connection);
         self.redial();
         for out in unwritten {
             match out {
                 Outgoing::SetUp(set_up) => self.handle_command(ToHub::SetUp(set_up)),
                 Outgoing::Release(call, cause) => self.handle_command(ToHub::Release(call, cause)),
-                // The set-up was broken just now.
+                // The set-up of a give-up was broken with this connection.
                 Outgoing::GiveUp(..) | Outgoing::ReleaseHeard(_) | Outgoing::Test => {}
             }
         }
     }
 
-    /// Closes a connection: its set-ups are broken. What had not begun on it is given back.
+    /// Closes a connection and reports the set-ups that had begun on it as broken. Returns the messages that had not
+    /// been written.
     fn settle(&mut self, connection: Connection) -> Vec<Outgoing> {
         let Connection { open_set_ups, staged, queue, stream, .. } = connection;
         drop(stream);
@@ -675,13 +693,14 @@
             .collect()
     }
 
+    /// Writes what each connection has queued, as far as the sockets take it.
     fn write_connections(&mut self) {
         let now = self.clock.now();
-        // From the last, as a connection that breaks is taken out.
+        // In reverse order, as a connection that breaks is removed from the list.
         for index in (0..self.connections.len()).rev() {
             let Some(connection) = self.connections.get_mut(index) else { continue };
             if connection.write(now, self.not_after, &mut self.events).is_err() {
-                // What the hub said before it closed is still there to be read.
+                // Messages that the hub sent before it closed the connection can still be read.
                 self.read_available(index);
                 self.connection_lost(index);
                 self.close_stalled();
@@ -690,12 +709,12 @@
     }
 }
 
-/// Lets the runtime poll the sockets and the core hear of what came, before a set-up begins. Looks during which more
-/// than [`MAX_YIELD_TIME`] passed are repeated, [`MAX_YIELD_RETRIES`] times at most.
+/// Yields to the runtime before a set-up begins, so that the sockets are polled and the core learns of callers that
+/// have left. If the yields take longer than [`MAX_YIELD_TIME`], they are repeated up to [`MAX_YIELD_RETRIES`] times.
 ///
-/// Two gaps remain. A stop between the last look at the clock and the write goes unseen; the time between them is that
-/// of taking in the commands and composing the messages. And where each of the repeated maintenance takes that long, the
-/// set-up begins after the last of them, though the departure may not have been heard.
+/// Two gaps remain. A stop of the process between the last reading of the clock and the write goes unnoticed; that is
+/// the time in which commands are handled and messages encoded. And if every repetition takes too long, the set-up
+/// begins after the last one although a departure may still be unread.
 async fn yield_for_departures() {
     for _ in 0..=MAX_YIELD_RETRIES {
         let begun = Instant::now();
@@ -708,6 +727,7 @@
     }
 }
 
+/// Returns the index of the first connection that can be read, or written if it has output.
 fn poll_connections(connections: &[Connection], cx: &mut Context<'_>) -> Poll<usize> {
     for (index, connection) in connections.iter().enumerate() {
         let readable = connection.stream.poll_read_ready(cx).is_ready();
--- a/src/net/hub/connection.rs
+++ b/src/net/hub/connection.rs
@@ -1,6 +1,7 @@
-//! One connection to a table hub: what is out on it, what waits, and the bytes of both.
+//! One connection to a table hub: its open set-ups, its queue of outgoing messages, and the input and output buffers.
 //!
-//! A set-up can be taken back until its first byte is out, so that bytes the socket does not take go back to the queue.
+//! A set-up can be withdrawn until its first byte is written. Messages that the socket does not take are therefore
+//! moved back from the output buffer to the queue.
 
 use crate::core::{CallName, Cause, FromHub, SetUp};
 use crate::interface::Micros;
@@ -13,20 +14,21 @@
 use tokio::net::TcpStream;
 use tokio::time::{Duration, Instant};
 
-/// A message that began comes whole within this.
+/// Time within which a partly received message must be complete.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(300);
-/// A set-up whose answer is missing though one begun this much later was answered has lost it: a hub
-/// takes set-ups in their order, and jitter is far smaller.
+/// A set-up whose answer is missing although one that began this much later has been answered counts as lost. A hub
+/// takes set-ups in order, and jitter is far smaller than this.
 const OVERTAKEN_ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
-/// A set-up given up after this, with nothing heard since it began, makes its connection suspect. Danger: the
-/// module calls off what it sees overtaken, and the connection would look as if it owed nothing.
+/// A connection becomes suspect if a set-up on it is given up after at least this time and nothing was received since
+/// the set-up began. The core gives up set-ups that it sees overtaken; without this rule, the connection would then
+/// look as if no answer were due on it.
 const SUSPECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// What a test message, which concerns no call, has in place of one.
+/// Call id of a test message, which concerns no call.
 const NO_CALL: u64 = 0;
-/// This much is written at once; the rest can still be taken back.
+/// Size of the output buffer at which no further messages are encoded. Messages still queued can be withdrawn.
 const MAX_WRITE_BYTES: usize = 16 * 1024;
 
-/// A message to write.
+/// An outgoing message: a set-up, the give-up of an attempt, a release, the acknowledgement of a release, or a test.
 pub(super) enum Outgoing {
     SetUp(SetUp),
     GiveUp(CallName, u64),
@@ -35,37 +37,39 @@
     Test,
 }
 
-/// A set-up on a connection, from its first byte on.
+/// A set-up whose first byte has been written, until it is answered, refused or given up.
 #[derive(Clone, Copy)]
 pub(super) struct OpenSetUp {
     pub(super) attempt: u64,
     pub(super) started: Instant,
 }
 
-/// A connection that is up.
+/// An established connection.
 pub(super) struct Connection {
     pub(super) id: u64,
     pub(super) stream: TcpStream,
     pub(super) input: Buffer,
-    /// Messages as bytes, with the length of each in `staged`; of the first, `begun` bytes are out.
+    /// The encoded messages of `staged`. Of the first one, `written_of_first` bytes have been written already.
     pub(super) output: Vec<u8>,
+    /// The messages in `output`, each with its encoded length.
     pub(super) staged: VecDeque<(usize, Outgoing)>,
     pub(super) written_of_first: usize,
+    /// Messages that are not encoded yet.
     pub(super) queue: VecDeque<Outgoing>,
-    /// Set-ups begun here and not answered.
+    /// Set-ups that began on this connection and are not answered.
     pub(super) open_set_ups: HashMap<CallName, OpenSetUp>,
     pub(super) opened_at: Instant,
     pub(super) last_heard: Instant,
-    /// Since when the message that is being read is not whole.
+    /// Since when the message at the front of the input is incomplete.
     pub(super) partial_since: Option<Instant>,
-    /// When a set-up began that was given up late, with nothing heard here since.
+    /// Start of a set-up that was given up late, if no message was handled on this connection since.
     pub(super) suspect_since: Option<Instant>,
-    /// It counts among the connections of all links.
+    /// Counts this connection against the limit for all links.
     pub(super) _permit: Door,
 }
 
 impl Connection {
-    /// One that came up at `now`, with what waited for it.
+    /// A connection established at `now`, with the messages that waited for it.
     pub(super) fn new(
         id: u64,
         stream: TcpStream,
@@ -90,31 +94,34 @@
         }
     }
 
-    /// How much it owes; one that is suspect comes last.
+    /// Sort key for choosing a connection for a set-up: the number of open set-ups and queued messages. A suspect
+    /// connection sorts after all others.
     pub(super) fn load(&self) -> (bool, usize) {
         (self.suspect_since.is_some(), self.open_set_ups.len() + self.queue.len())
     }
 
-    /// Nothing is out or waits on it.
+    /// Whether it has no open set-ups and nothing to write.
     pub(super) fn is_idle(&self) -> bool {
         self.open_set_ups.is_empty() && self.queue.is_empty() && self.output.is_empty()
     }
 
-    /// Ends of calls that its hub was not told yet.
+    /// Number of give-ups and releases that are not written yet.
     pub(super) fn unsent_ends(&self) -> usize {
         let end = |out: &&Outgoing| matches!(out, Outgoing::GiveUp(..) | Outgoing::Release(..));
         self.queue.iter().chain(self.staged.iter().map(|(_, out)| out)).filter(end).count()
     }
 
-    /// Whether its answers come no more, though it stays open.
+    /// Whether the connection has stopped delivering answers although it is open: a message has stayed incomplete, or a
+    /// set-up that began [`OVERTAKEN_ANSWER_TIMEOUT`] later than an unanswered one here has been answered on any
+    /// connection. `latest_answered_start` is the latest start among the answered ones.
     pub(super) fn is_stalled(&self, now: Instant, latest_answered_start: Option<Instant>) -> bool {
-        let oldest = self.open_set_ups.values().map(|b| b.started).chain(self.suspect_since).min();
+        let oldest = self.open_set_ups.values().map(|s| s.started).chain(self.suspect_since).min();
         let overtaken = oldest.is_some_and(|at| latest_answered_start >= Some(at + OVERTAKEN_ANSWER_TIMEOUT));
         overtaken || self.partial_since.is_some_and(|since| now - since >= MESSAGE_TIMEOUT)
     }
 
-    /// Writes what the socket takes. A set-up whose first byte has not gone out goes back to the queue,
-    /// where it can be taken back; its deadline and the hub's drain are looked at again then.
+    /// Writes as much as the socket takes. A set-up whose first byte could not be written returns to the queue, where
+    /// it can be withdrawn, and its deadline and the hub's drain are checked again before the next attempt to write it.
     pub(super) fn write(
         &mut self,
         now: Micros,
@@ -142,6 +149,8 @@
         }
     }
 
+    /// Encodes a message into the output buffer. A set-up that is past its deadline or the start of the hub's drain, or
+    /// that exceeds the maximum message size, is reported as not sent.
     pub(super) fn stage(
         &mut self,
         out: Outgoing,
@@ -150,7 +159,7 @@
         events: &mut Vec<FromHub>,
     ) {
         let before = self.output.len();
-        let staged = match &out {
+        let encoded = match &out {
             Outgoing::SetUp(s) => {
                 if now >= s.until || not_after.is_some_and(|t| now >= t) {
                     return events.push(FromHub::NotSent(s.call, s.attempt));
@@ -162,7 +171,7 @@
                     (code::NUMBER, s.number.as_bytes()),
                     (code::DESCRIPTION, &s.description.bytes[..]),
                 ];
-                // A caller of another protocol describes nothing that a table hub could use.
+                // A hub can only use SDP; callers of other protocols have no description for it.
                 let count = if s.description.form == SDP { 4 } else { 3 };
                 binary::write(&mut self.output, kind::SET_UP, s.call.0, &parameters[..count])
             }
@@ -171,24 +180,24 @@
             Outgoing::ReleaseHeard(call) => binary::write(&mut self.output, kind::RELEASE_HEARD, call.0, &[]),
             Outgoing::Test => binary::write(&mut self.output, kind::TEST, NO_CALL, &[(code::CAUSE, &[0])]),
         };
-        match (staged, out) {
+        match (encoded, out) {
             (true, out) => self.staged.push_back((self.output.len() - before, out)),
             (false, Outgoing::SetUp(s)) => events.push(FromHub::NotSent(s.call, s.attempt)),
             (false, _) => {}
         }
     }
 
-    /// `count` more bytes are out.
+    /// Accounts for `count` bytes written: records set-ups that have begun and reports give-ups that are complete.
     pub(super) fn advance_written(&mut self, count: usize, events: &mut Vec<FromHub>) {
         self.output.drain(..count);
         self.written_of_first += count;
         while let Some((length, out)) = self.staged.front() {
             if let Outgoing::SetUp(s) = out {
                 if self.written_of_first > 0 {
-                    let begun = OpenSetUp { attempt: s.attempt, started: Instant::now() };
+                    let set_up = OpenSetUp { attempt: s.attempt, started: Instant::now() };
                     self.open_set_ups.entry(s.call).or_insert_with(|| {
-                        tracing::debug!(call = %s.call, attempt = s.attempt, connection = self.id, "begun");
-                        begun
+                        tracing::debug!(call = %s.call, attempt = s.attempt, connection = self.id, "set-up begun");
+                        set_up
                     });
                 }
             }
@@ -197,16 +206,16 @@
             }
             self.written_of_first -= length;
             if let Some((_, Outgoing::GiveUp(call, attempt))) = self.staged.pop_front() {
-                let begun = self.open_set_ups.remove(&call).map(|b| b.started);
+                let started = self.open_set_ups.remove(&call).map(|s| s.started);
                 let late = |at: &Instant| at.elapsed() >= SUSPECT_TIMEOUT && self.last_heard < *at;
-                self.suspect_since = self.suspect_since.or(begun.filter(late));
+                self.suspect_since = self.suspect_since.or(started.filter(late));
                 tracing::debug!(%call, attempt, connection = self.id, "give-up written");
                 events.push(FromHub::GivenUp { attempt, call, began: true });
             }
         }
     }
 
-    /// The socket is full: what has not begun goes back.
+    /// Moves messages of which no byte was written back to the queue, as the socket takes no more.
     pub(super) fn unstage(&mut self) {
         while self.staged.len() > usize::from(self.written_of_first > 0) {
             let Some((length, out)) = self.staged.pop_back() else { return };
@@ -216,6 +225,7 @@
     }
 }
 
+/// Encodes a release of the call with this cause.
 fn release(out: &mut Vec<u8>, call: CallName, cause: Cause) -> bool {
     binary::write(out, kind::RELEASE, call.0, &[(code::CAUSE, &[cause.0])])
 }
--- a/src/net/hub/liveness.rs
+++ b/src/net/hub/liveness.rs
@@ -1,67 +1,67 @@
-//! Whether a table hub's process lives, judged by the clock.
+//! Decides from dials, silence and unanswered probes whether a table hub's process is alive.
 //!
-//! | what happened to a dial | no connection is open | connections are open and silent |
+//! | outcome of a dial | no connection is open | open connections are silent |
 //! | --- | --- | --- |
-//! | refused | dead at once | dead after [`SILENCE_TIMEOUT`], with a test message unanswered: one that drains may only have closed its listener |
+//! | refused | dead at once | dead after [`SILENCE_TIMEOUT`] if a test message is unanswered; a draining hub may only have closed its listener |
 //! | timed out, unreachable | dead after [`DIAL_FAILURE_TIMEOUT`] of such dials | dead after [`UNREACHABLE_SILENCE_TIMEOUT`] |
-//! | came up, and the hub does not speak on it | dead after [`SILENCE_TIMEOUT`] | dead after [`SILENCE_TIMEOUT`] |
+//! | connected, but the hub sends nothing | dead after [`SILENCE_TIMEOUT`] | dead after [`SILENCE_TIMEOUT`] |
 //!
-//! Only what the hub says is a sign of life: the kernel of its machine accepts connections for a process that
-//! hangs. A hub says its state before anything else on each new connection (PROTOCOL, 'Table hubs'), so that a new
-//! connection is a question that a living process answers at once.
+//! Only messages of the hub count as signs of life, as the kernel accepts connections for a process that hangs. On each
+//! new connection a hub sends its state before anything else, so a new connection is a probe that a living process
+//! answers at once.
 
 use std::io;
 use tokio::time::{Duration, Instant};
 
-/// Dials that got no answer for this long, with no connection open: the machine has vanished.
+/// Time of failing dials, with no connection open, after which the hub's machine counts as failed.
 const DIAL_FAILURE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Silence after which a dial without an answer shows that the machine has vanished.
+/// Silence on open connections after which a dial that times out or finds the machine unreachable shows that it failed.
 const UNREACHABLE_SILENCE_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// Silence after which a question without an answer shows that the process hangs. The calls that stood there are
-/// released within 8 s of its last word, and their releases may have to be repeated for 0.7 s.
+/// Silence after which an unanswered probe shows that the process hangs. The calls that stood there must be released
+/// within 8 s of the hub's last message, and their releases may have to be repeated for 0.7 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(6_500);
-/// A question that is open for less than this shows nothing.
+/// Time that a hub has to answer a probe before the probe counts as unanswered.
 const PROBE_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What is known of one hub's process.
+/// Signs of life of one hub's process.
 pub(super) struct Liveness {
-    /// When the hub last said anything, on whichever connection.
+    /// When the hub last sent anything on any connection.
     last_heard: Instant,
-    /// Since when it has left a question unanswered.
+    /// Since when a probe has been unanswered.
     probe_pending_since: Option<Instant>,
-    /// Since when all dials have failed.
+    /// Since when every dial has failed.
     failing_since: Option<Instant>,
 }
 
 impl Liveness {
-    /// A hub of which nothing is known yet.
+    /// The state of a hub that counts as heard at `now` and has no pending probe.
     pub(super) fn new(now: Instant) -> Liveness {
         Liveness { last_heard: now, probe_pending_since: None, failing_since: None }
     }
 
-    /// The hub said something.
+    /// Records that the hub sent something; this answers a pending probe.
     pub(super) fn record_heard(&mut self, now: Instant) {
         *self = Liveness::new(now);
     }
 
-    /// A connection came up: the hub has to say its state on it.
+    /// Records a new connection. It counts as a probe, as the hub has to send its state on it.
     pub(super) fn record_connected(&mut self, now: Instant) {
         self.failing_since = None;
         self.record_probe(now);
     }
 
-    /// The hub owes a word from now on.
+    /// Records that an answer of the hub is due from now on, unless one was due already.
     pub(super) fn record_probe(&mut self, now: Instant) {
         self.probe_pending_since.get_or_insert(now);
     }
 
-    /// Whether it owes a word.
+    /// Whether a probe is unanswered.
     pub(super) fn is_probe_pending(&self) -> bool {
         self.probe_pending_since.is_some()
     }
 
-    /// Whether a dial that failed shows that the hub is dead. `open`: connections are open. Danger: an error of our
-    /// own, such as having no descriptor left, shows nothing of the hub.
+    /// Whether a failed dial shows that the hub is dead; `open` tells whether connections to it are open. Local errors,
+    /// such as having no file descriptor left, say nothing about the hub.
     pub(super) fn dial_failed(&mut self, now: Instant, error: io::ErrorKind, open: bool) -> bool {
         use io::ErrorKind::{ConnectionRefused, HostUnreachable, NetworkUnreachable, TimedOut};
         if error == crate::net::doors::NONE_LEFT {
@@ -78,13 +78,13 @@
         }
     }
 
-    /// For how long the hub has said nothing.
+    /// How long the hub has sent nothing.
     pub(super) fn silence(&self, now: Instant) -> Duration {
         now - self.last_heard
     }
 
-    /// Whether the hub left a question unanswered for so long that its process hangs. What waits to be read must be
-    /// taken in before.
+    /// Whether the hub has left a probe unanswered for so long that its process must hang. Unread input must be handled
+    /// before this result is relied on.
     pub(super) fn is_unresponsive(&self, now: Instant) -> bool {
         let unanswered = self.probe_pending_since.is_some_and(|since| now - since >= PROBE_ANSWER_TIMEOUT);
         unanswered && self.silence(now) >= SILENCE_TIMEOUT
--- a/src/net/hub/liveness/tests.rs
+++ b/src/net/hub/liveness/tests.rs
@@ -1,4 +1,4 @@
-//! What failed dials, silence and unanswered questions show.
+//! Tests of the conclusions drawn from failed dials, silence and unanswered probes.
 
 use super::*;
 use crate::net::doors::NONE_LEFT;
@@ -7,7 +7,7 @@
 const SHORT: Duration = Duration::from_millis(600);
 const LONG: Duration = Duration::from_secs(6);
 
-/// Whether a dial that fails now shows that the hub is dead, after so much silence and failing dials.
+/// Whether a dial that fails now shows that the hub is dead, after the given times of failing dials and of silence.
 fn is_dead(error: io::ErrorKind, open: bool, failing: Duration, silence: Duration) -> bool {
     let start = Instant::now();
     let now = start + failing.max(silence);
@@ -17,23 +17,23 @@
 }
 
 #[test]
-fn a_hub_is_dead_only_where_the_dial_shows_it() {
+fn a_failed_dial_declares_a_hub_dead_only_if_the_error_proves_it() {
     assert!(is_dead(ConnectionRefused, false, Duration::ZERO, Duration::ZERO));
     assert!(!is_dead(ConnectionRefused, true, LONG, LONG), "a draining hub's listener");
     assert!(!is_dead(TimedOut, false, SHORT, SHORT) && is_dead(TimedOut, false, LONG, SHORT));
     assert!(!is_dead(TimedOut, true, LONG, SHORT) && is_dead(TimedOut, true, SHORT, LONG));
-    assert!(!is_dead(Other, false, LONG, LONG), "an error of our own");
-    assert!(!is_dead(NONE_LEFT, false, LONG, LONG), "no descriptor left");
+    assert!(!is_dead(Other, false, LONG, LONG), "a local error");
+    assert!(!is_dead(NONE_LEFT, false, LONG, LONG), "no file descriptor left");
 }
 
 #[test]
-fn a_hub_is_unresponsive_only_once_it_was_silent_for_long_with_a_question_open() {
+fn a_hub_is_unresponsive_only_after_a_long_silence_with_an_unanswered_probe() {
     let start = Instant::now();
     let mut liveness = Liveness::new(start);
     let late = start + 2 * LONG;
-    assert!(!liveness.is_unresponsive(late), "nothing was asked");
+    assert!(!liveness.is_unresponsive(late), "no probe was sent");
     liveness.record_connected(late);
-    assert!(!liveness.is_unresponsive(late + SHORT), "asked just now");
+    assert!(!liveness.is_unresponsive(late + SHORT), "probed just now");
     assert!(liveness.is_unresponsive(late + PROBE_ANSWER_TIMEOUT));
     liveness.record_heard(late + PROBE_ANSWER_TIMEOUT);
     assert!(!liveness.is_unresponsive(late + 2 * LONG), "it answered");
--- a/src/net/hub/messages.rs
+++ b/src/net/hub/messages.rs
@@ -1,4 +1,5 @@
-//! What one message of a table hub means for its connection, and for the core.
+//! Handles messages received from a table hub: updates the state of the connection and the link, and reports events to
+//! the core.
 
 use super::connection::{Connection, Outgoing};
 use crate::core::{CallName, Cause, Description, FromHub, Note};
@@ -9,18 +10,18 @@
 use std::collections::HashMap;
 use tokio::time::Instant;
 
-/// Acknowledgements of releases that may wait: they are free, and a hub may send and never read.
+/// Length of a connection's queue from which on releases are no longer acknowledged. Sending releases costs a hub
+/// nothing, and one that never reads would make the queue grow without bound.
 const MAX_QUEUED_RELEASE_HEARD: usize = 256;
 
-/// Whether a release with this cause, of a set-up without an answer, ends a call that stood. PROTOCOL,
-/// 'Messages': cause 16 comes only after an answer, so the answer is still under way. Cause 41 comes after an
-/// answer or for a set-up that broke; which of the two cannot be told before the answer comes, perhaps
-/// seconds later.
+/// Whether a release with this cause, received for an unanswered set-up, can end a call that stood at the hub. A hub
+/// sends cause 16 only after its answer, so the answer is still under way. It sends cause 41 after an answer or for a
+/// set-up that broke, and which of the two applies cannot be told until the answer arrives, perhaps seconds later.
 fn may_overtake_answer(cause: Cause) -> bool {
     matches!(cause, Cause::NORMAL | Cause::TEMPORARY_FAILURE)
 }
 
-/// What one message of a hub means; gives back when the set-up began that stands by it.
+/// Handles one message of a hub. For an answer to an open set-up, returns when that set-up began.
 pub(super) fn handle_message(
     message: &Message,
     connection: &mut Connection,
@@ -30,19 +31,19 @@
     let call = CallName(message.call);
     match message.kind {
         kind::ANSWER => {
-            let begun = connection.open_set_ups.remove(&call);
-            tracing::debug!(%call, connection = connection.id, open = begun.is_some(), "answer");
-            // A second copy. One that is not open here crosses its give-up, or has an id that nobody
-            // knows: the core can tell.
-            if begun.is_none() && standing_calls.contains_key(&call) {
+            let set_up = connection.open_set_ups.remove(&call);
+            tracing::debug!(%call, connection = connection.id, open = set_up.is_some(), "answer received");
+            // A repeated answer is ignored. An answer without an open set-up has crossed a give-up or has an
+            // unknown call id; the core can tell the two apart.
+            if set_up.is_none() && standing_calls.contains_key(&call) {
                 return None;
             }
-            if begun.is_some() {
+            if set_up.is_some() {
                 standing_calls.insert(call, connection.id);
             }
             let bytes = Bytes::copy_from_slice(message.parameter(code::DESCRIPTION).unwrap_or_default());
             events.push(FromHub::Stands(call, Description { form: SDP, bytes }));
-            begun.map(|b| b.started)
+            set_up.map(|s| s.started)
         }
         kind::RELEASE => {
             let open = connection.open_set_ups.remove(&call).is_some();
@@ -54,7 +55,7 @@
                 _ => Note::None,
             };
             let cause = message.cause().map_or(Cause::TEMPORARY_FAILURE, Cause);
-            tracing::debug!(%call, connection = connection.id, cause = cause.0, open, stood, "release");
+            tracing::debug!(%call, connection = connection.id, cause = cause.0, open, stood, "release received");
             let report = message.report();
             events.push(match open && may_overtake_answer(cause) {
                 true => FromHub::ReleasedUnanswered(call, cause, report),
@@ -63,8 +64,8 @@
             if connection.queue.len() < MAX_QUEUED_RELEASE_HEARD {
                 connection.queue.push_back(Outgoing::ReleaseHeard(call));
             }
-            // Danger: a hub says at once what it cannot use, ahead of the set-ups that wait in its line;
-            // taken for an answer out of its turn, that would close sound connections.
+            // A hub refuses unusable set-ups at once, ahead of those in its queue. If a refusal counted as an
+            // answer, set-ups that began earlier would seem overtaken, and sound connections would be closed.
             None
         }
         kind::STATE | kind::TESTED => {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's sockets: SIP callers, table hubs and the change log.
+//! Network input and output: SIP callers, table hubs and the change log.
 
 pub mod binary;
 pub mod buffer;
@@ -11,5 +11,5 @@
 pub mod sip;
 pub mod sip_server;
 
-/// The form of the descriptions that SIP callers and table hubs exchange.
+/// Media type of the session descriptions that SIP callers and table hubs exchange.
 pub const SDP: &str = "application/sdp";
