--- a/tests/silent_hubs.rs
+++ b/tests/silent_hubs.rs
@@ -1,6 +1,6 @@
-//! Table hubs that stop in the middle of their work, on the started program: their connections stay open and say
-//! nothing more, and new ones hang, are refused, come up in silence or end at once. The calls that stand there are
-//! over, and each has to be released towards its caller within 8 s (PROTOCOL, 'The rules on sockets').
+//! Table hubs that fail while calls stand, against the started program. Their open connections stay silent, and new
+//! ones hang, are refused, stay silent or end at once. The calls at such a hub are over, and each must be released
+//! towards its caller within 8 s. Hubs that still give signs of life must keep their calls.
 
 #[path = "common/peers.rs"]
 mod peers;
@@ -16,30 +16,32 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Within this a call that is over is released, if its hub could not say so.
-const RELEASE_RULE: Duration = Duration::from_secs(8);
-/// Connections to one hub at most.
+/// Time within which a call that is over must be released if its hub cannot report the end.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Maximum number of connections to one hub, as the program has it.
 const MAX_CONNECTIONS: usize = 4;
-/// Longer than one set-up may be begun before another without being taken for overtaken.
-const APART: Duration = Duration::from_millis(50);
-/// The call that stands when its hub falls silent.
-const CALL: u64 = 0xa0;
+/// Time between set-ups. It is shorter than the 120 ms after which a later answer marks an earlier set-up as overtaken.
+const SET_UP_SPACING: Duration = Duration::from_millis(50);
+/// The call that stands when its hub fails.
+const STANDING_CALL: u64 = 0xa0;
 
-fn say_state(hub: &mut ScriptedHub, link: usize) {
+/// Sends the hub's state on one of its connections.
+fn send_state(hub: &mut ScriptedHub, link: usize) {
     hub.say(link, kind::STATE, 0, &[(code::REPORT, b"x0:190;x1:200;qps:50")]);
 }
 
-/// Waits until the hub has so many connections, and says its state on each new one.
-fn connected(hub: &mut ScriptedHub, count: usize) {
+/// Waits until the hub has `count` connections, and sends its state on each new one.
+fn wait_connected(hub: &mut ScriptedHub, count: usize) {
     let known = hub.links.len();
     until(&format!("{count} connections"), || {
         hub.take_in();
         (hub.links.len() >= count).then_some(())
     });
-    (known..hub.links.len()).for_each(|link| say_state(hub, link));
+    (known..hub.links.len()).for_each(|link| send_state(hub, link));
 }
 
-fn stand(hub: &mut ScriptedHub, caller: &mut Caller, call: u64) -> Sent {
+/// Sets a call up and answers it as the hub.
+fn set_up_call(hub: &mut ScriptedHub, caller: &mut Caller, call: u64) -> Sent {
     caller.invite(call, 100_000, 0);
     let set_up = hub.set_up(call, 1);
     hub.answer(&set_up);
@@ -47,85 +49,89 @@
     set_up
 }
 
-/// A program, its hub with two connections, and a caller whose call stands there.
-fn standing(hub: ScriptedHub) -> (Program, ScriptedHub, Caller) {
-    standing_with(hub, unhurried)
+/// Starts the program with one hub that has two connections, and sets up a call there.
+fn start_with_call(hub: ScriptedHub) -> (Program, ScriptedHub, Caller) {
+    start_with_call_and_config(hub, unhurried)
 }
 
-fn standing_with(mut hub: ScriptedHub, change: impl Fn(String) -> String) -> (Program, ScriptedHub, Caller) {
+/// The same with a changed configuration.
+fn start_with_call_and_config(
+    mut hub: ScriptedHub,
+    change: impl Fn(String) -> String,
+) -> (Program, ScriptedHub, Caller) {
     let debug = Some(r#"{"log":{"level":"debug"}}"#);
     let program = Program::launch(any_address(), &[hub.target(0)], None, debug, 1024, change);
-    connected(&mut hub, 2);
+    wait_connected(&mut hub, 2);
     let mut caller = Caller::connect(program.address);
-    stand(&mut hub, &mut caller, CALL);
+    set_up_call(&mut hub, &mut caller, STANDING_CALL);
     (program, hub, caller)
 }
 
-/// Has the hub refuse further connections.
+/// Makes the hub refuse further connections.
 fn close_listener(hub: &mut ScriptedHub) {
     hub.listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     hub.listener.set_nonblocking(true).expect("set");
 }
 
-/// Leaves set-ups without an answer until the program has opened all the connections that it may.
+/// Leaves set-ups unanswered until the program has opened its maximum of connections to the hub.
 fn open_all_connections(hub: &mut ScriptedHub, caller: &mut Caller) -> Vec<Sent> {
     let mut unanswered = Vec::new();
     while hub.links.len() < MAX_CONNECTIONS {
-        // One on each connection, so that none of them is spare.
+        // One set-up on each connection, so that none is idle.
         for _ in 0..hub.links.len() {
             let call = 0x100 + unanswered.len() as u64;
             caller.invite(call, 100_000, 0);
             unanswered.push(hub.set_up(call, 1));
-            sleep(APART);
+            sleep(SET_UP_SPACING);
         }
-        connected(hub, hub.links.len() + 1);
+        wait_connected(hub, hub.links.len() + 1);
     }
     unanswered
 }
 
-/// Waits for the release of the call, which is over since `since`; `meanwhile` is what the hub's machine does.
-fn is_released(caller: &mut Caller, since: Instant, mut meanwhile: impl FnMut()) {
+/// Checks that the call, which is over since `since`, is released in time; runs `meanwhile` repeatedly while waiting.
+fn assert_released_in_time(caller: &mut Caller, since: Instant, mut meanwhile: impl FnMut()) {
     until("the release of a call that is over", || {
         meanwhile();
         caller.take_in();
-        caller.said.contains(&Said::Bye(CALL, 41)).then_some(())
+        caller.said.contains(&Said::Bye(STANDING_CALL, 41)).then_some(())
     });
     let took = since.elapsed();
-    assert!(took < RELEASE_RULE, "released after {took:?}");
+    assert!(took < RELEASE_TIMEOUT, "released after {took:?}");
 }
 
 #[test]
-fn calls_at_a_hub_that_vanished_are_released_in_time() {
-    let (_program, hub, mut caller) = standing(ScriptedHub::with_short_queue());
+fn calls_at_a_hub_whose_machine_failed_are_released_in_time() {
+    let (_program, hub, mut caller) = start_with_call(ScriptedHub::with_short_queue());
     let since = Instant::now();
     let _filling = hub.fill_queue();
-    is_released(&mut caller, since, || ());
+    assert_released_in_time(&mut caller, since, || ());
 }
 
 #[test]
-fn calls_at_a_hub_that_vanished_with_all_connections_open_are_released_in_time() {
-    let (_program, mut hub, mut caller) = standing(ScriptedHub::with_short_queue());
+fn calls_at_a_failed_hub_with_the_maximum_of_connections_are_released_in_time() {
+    let (_program, mut hub, mut caller) = start_with_call(ScriptedHub::with_short_queue());
     for set_up in open_all_connections(&mut hub, &mut caller) {
         hub.answer(&set_up);
         assert_eq!(status(&mut caller, set_up.call), 200);
     }
     let since = Instant::now();
     let _filling = hub.fill_queue();
-    is_released(&mut caller, since, || ());
+    assert_released_in_time(&mut caller, since, || ());
 }
 
 #[test]
-fn calls_at_a_hub_that_vanished_with_set_ups_out_on_all_connections_are_released_in_time() {
-    let (_program, mut hub, mut caller) = standing(ScriptedHub::with_short_queue());
+fn calls_at_a_failed_hub_with_unanswered_set_ups_on_all_connections_are_released_in_time() {
+    let (_program, mut hub, mut caller) = start_with_call(ScriptedHub::with_short_queue());
     let _unanswered = open_all_connections(&mut hub, &mut caller);
     let since = Instant::now();
     let _filling = hub.fill_queue();
-    is_released(&mut caller, since, || ());
+    assert_released_in_time(&mut caller, since, || ());
 }
 
 #[test]
-fn calls_at_a_hub_that_vanished_with_no_descriptor_left_are_released_in_time() {
-    // With 64 descriptors the connections to hubs may be 16: eight hubs with two each.
+fn calls_at_a_failed_hub_are_released_in_time_with_no_file_descriptor_left() {
+    // Of 64 file descriptors, 16 may be connections to hubs: eight hubs with two each.
     let mut hub = ScriptedHub::with_short_queue();
     let mut others: Vec<ScriptedHub> = (1..8).map(|_| ScriptedHub::new()).collect();
     let mut targets = vec![hub.target(0)];
@@ -137,19 +143,19 @@
     let program = Program::changed(&targets, None, |text| {
         unhurried(text).replace("\"sockets\":1024", "\"sockets\":64")
     });
-    connected(&mut hub, 2);
-    others.iter_mut().for_each(|other| connected(other, 2));
+    wait_connected(&mut hub, 2);
+    others.iter_mut().for_each(|other| wait_connected(other, 2));
     let mut caller = Caller::connect(program.address);
-    stand(&mut hub, &mut caller, CALL);
-    // All the others have calls too, and go on speaking: none of their connections is spare for long.
+    set_up_call(&mut hub, &mut caller, STANDING_CALL);
+    // The other hubs keep sending their state, so that none of their connections is closed as idle.
     let since = Instant::now();
     let _filling = hub.fill_queue();
-    is_released(&mut caller, since, || {
+    assert_released_in_time(&mut caller, since, || {
         for other in &mut others {
             other.take_in();
             for link in 0..other.links.len() {
                 if other.links[link].open {
-                    say_state(other, link);
+                    send_state(other, link);
                 }
             }
         }
@@ -159,42 +165,45 @@
 
 #[test]
 fn calls_at_a_hub_whose_process_hangs_are_released_in_time() {
-    // Its kernel goes on accepting connections.
-    let (_program, _hub, mut caller) = standing(ScriptedHub::new());
-    is_released(&mut caller, Instant::now(), || ());
+    // The kernel still accepts connections for the process.
+    let (_program, _hub, mut caller) = start_with_call(ScriptedHub::new());
+    assert_released_in_time(&mut caller, Instant::now(), || ());
 }
 
 #[test]
-fn calls_at_a_hub_whose_machine_came_back_before_it_was_missed_are_released_in_time() {
-    let (_program, mut hub, mut caller) = standing(ScriptedHub::new());
-    // Its old connections stay open and silent; the new process says its state, and the list tells nothing.
-    is_released(&mut caller, Instant::now(), || tell_state_when_dialled(&mut hub, Duration::from_millis(50)));
+fn calls_at_a_hub_that_restarts_before_its_failure_is_detected_are_released_in_time() {
+    let (_program, mut hub, mut caller) = start_with_call(ScriptedHub::new());
+    // The old connections stay open and silent, the new process sends its state on new ones, and the change log
+    // reports no restart.
+    assert_released_in_time(&mut caller, Instant::now(), || {
+        send_state_on_new_connections(&mut hub, Duration::from_millis(50))
+    });
 }
 
 #[test]
-fn calls_at_a_hub_that_refuses_connections_beside_silent_ones_are_released_in_time() {
+fn calls_at_a_hub_that_refuses_connections_while_open_ones_are_silent_are_released_in_time() {
     for may_probe in [true, false] {
         let change =
             |text: String| unhurried(text).replace("\"mayProbe\":true", &format!("\"mayProbe\":{may_probe}"));
-        let (_program, mut hub, mut caller) = standing_with(ScriptedHub::new(), change);
+        let (_program, mut hub, mut caller) = start_with_call_and_config(ScriptedHub::new(), change);
         close_listener(&mut hub);
-        is_released(&mut caller, Instant::now(), || ());
+        assert_released_in_time(&mut caller, Instant::now(), || ());
         hub.take_in();
         assert_eq!(
             hub.sent.iter().any(|sent| sent.kind == kind::TEST),
             may_probe,
-            "tested where that is allowed"
+            "test messages are sent only where the configuration allows them"
         );
     }
 }
 
 #[test]
-fn calls_at_a_hub_that_has_closed_its_listener_and_answers_tests_go_on() {
-    let (_program, mut hub, caller) = standing(ScriptedHub::new());
+fn calls_at_a_hub_that_closed_its_listener_but_answers_tests_are_kept() {
+    let (_program, mut hub, caller) = start_with_call(ScriptedHub::new());
     close_listener(&mut hub);
     let since = Instant::now();
     let mut answered = 0;
-    while since.elapsed() < 2 * RELEASE_RULE {
+    while since.elapsed() < 2 * RELEASE_TIMEOUT {
         hub.take_in();
         let tests: Vec<Sent> = hub.sent.iter().filter(|sent| sent.kind == kind::TEST).cloned().collect();
         for test in tests.iter().skip(answered) {
@@ -203,47 +212,52 @@
         answered = tests.len();
         sleep(Duration::from_millis(5));
     }
-    assert!(answered > 0, "it was asked");
-    ends_as_usual(hub, caller);
+    assert!(answered > 0, "no test message was sent");
+    assert_call_still_stands(hub, caller);
 }
 
 #[test]
-fn calls_at_a_hub_that_ends_each_new_connection_are_released_in_time() {
-    let (_program, hub, mut caller) = standing(ScriptedHub::new());
-    is_released(&mut caller, Instant::now(), || while hub.listener.accept().is_ok() {});
+fn calls_at_a_hub_that_closes_each_new_connection_are_released_in_time() {
+    let (_program, hub, mut caller) = start_with_call(ScriptedHub::new());
+    assert_released_in_time(&mut caller, Instant::now(), || while hub.listener.accept().is_ok() {});
 }
 
-/// Has the hub say its state on each new connection for so long.
-fn tell_state_when_dialled(hub: &mut ScriptedHub, time: Duration) {
+/// Sends the hub's state on each new connection for the given time.
+fn send_state_on_new_connections(hub: &mut ScriptedHub, time: Duration) {
     let since = Instant::now();
     while since.elapsed() < time {
         let known = hub.links.len();
         hub.take_in();
-        (known..hub.links.len()).for_each(|link| say_state(hub, link));
+        (known..hub.links.len()).for_each(|link| send_state(hub, link));
         sleep(Duration::from_millis(5));
     }
 }
 
-/// The hub ends the call, on the connection that came up last, and the caller hears of it.
-fn ends_as_usual(mut hub: ScriptedHub, mut caller: Caller) {
+/// Checks that the call was not released: the hub ends it on its newest open connection, and the caller gets that
+/// release.
+fn assert_call_still_stands(mut hub: ScriptedHub, mut caller: Caller) {
     hub.take_in();
     let last = hub.links.iter().rposition(|link| link.open).expect("a connection");
-    hub.say(last, kind::RELEASE, CALL, &[(code::CAUSE, &[16])]);
-    caller.wait_for("its end", |said| matches!(said, Said::Bye(CALL, _)));
-    assert!(caller.said.contains(&Said::Bye(CALL, 16)), "released while it stood: {:?}", caller.said);
+    hub.say(last, kind::RELEASE, STANDING_CALL, &[(code::CAUSE, &[16])]);
+    caller.wait_for("its end", |said| matches!(said, Said::Bye(STANDING_CALL, _)));
+    assert!(
+        caller.said.contains(&Said::Bye(STANDING_CALL, 16)),
+        "released while it stood: {:?}",
+        caller.said
+    );
 }
 
 #[test]
-fn calls_at_a_hub_that_has_nothing_to_say_go_on_as_long_as_it_tells_its_state_when_dialled() {
-    let (_program, mut hub, caller) = standing(ScriptedHub::new());
-    tell_state_when_dialled(&mut hub, 2 * RELEASE_RULE);
-    ends_as_usual(hub, caller);
+fn calls_at_a_silent_hub_that_sends_its_state_on_new_connections_are_kept() {
+    let (_program, mut hub, caller) = start_with_call(ScriptedHub::new());
+    send_state_on_new_connections(&mut hub, 2 * RELEASE_TIMEOUT);
+    assert_call_still_stands(hub, caller);
 }
 
 #[test]
-fn calls_at_a_hub_that_hangs_for_a_moment_go_on() {
-    let (_program, mut hub, caller) = standing(ScriptedHub::new());
+fn calls_at_a_hub_that_hangs_for_5_s_are_kept() {
+    let (_program, mut hub, caller) = start_with_call(ScriptedHub::new());
     sleep(Duration::from_secs(5));
-    tell_state_when_dialled(&mut hub, RELEASE_RULE);
-    ends_as_usual(hub, caller);
+    send_state_on_new_connections(&mut hub, RELEASE_TIMEOUT);
+    assert_call_still_stands(hub, caller);
 }
