--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -57,7 +57,8 @@
 const MIN_DIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Upper bound of the delay between failed dials.
 const MAX_DIAL_BACKOFF: Duration = Duration::from_secs(1);
-/// Silence after which a hub with standing calls is dialled to check that it is alive.
+/// Silence after which a hub with standing calls is dialled to check that it is alive, and after which an idle connection
+/// may be closed in favour of a new one.
 const QUIET_TIMEOUT: Duration = Duration::from_secs(3);
 /// A new connection is opened if, for this long, nothing was received on the connection that a standing call was set
 /// up on, or that connection is gone, and no other connection has been opened. A hub repeats on the next connection
--- a/src/net/hub/liveness.rs
+++ b/src/net/hub/liveness.rs
@@ -34,7 +34,7 @@
 }
 
 impl Liveness {
-    /// The state of a hub that counts as heard at `now` and has no pending probe.
+    /// The state of a hub that counts as last heard at `now` and has no pending probe.
     pub(super) fn new(now: Instant) -> Liveness {
         Liveness { last_heard: now, probe_pending_since: None, failing_since: None }
     }
