--- a/src/iax2/cause.rs
+++ b/src/iax2/cause.rs
@@ -1,11 +1,11 @@
-//! The one table of how calls end, in IAX2's words: a Q.850 cause code and its text.
+//! The one table of how calls reason, in IAX2's words: a Q.850 cause code and its text.
 
-use super::frame::{element, put, Elements};
+use super::frame::{append_element, element, Elements};
 use crate::core::{Cause, RefusalNote};
 
 /// How a call, or an attempt, ends towards an IAX2 peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum EndReason {
     /// The module refused the call; another try is harmless.
     Refused,
     /// The call failed before its caller's time was up.
@@ -19,23 +19,23 @@
     /// The NEW cannot be read, or speaks another version.
     Malformed,
     /// No call number is left.
-    Full,
+    CallLimitReached,
 }
 
 /// The cause that an ending is told with.
-pub fn cause(ending: Ending) -> Cause {
-    match ending {
-        Ending::Refused | Ending::Full => Cause(42),
-        Ending::Failed => Cause::TEMPORARY_FAILURE,
-        Ending::DeadlinePassed => Cause::TIMER_EXPIRY,
-        Ending::GivenUp => Cause::NORMAL,
-        Ending::Released(cause) => cause,
-        Ending::Malformed => Cause(96),
+pub fn cause_for(reason: EndReason) -> Cause {
+    match reason {
+        EndReason::Refused | EndReason::CallLimitReached => Cause(42),
+        EndReason::Failed => Cause::TEMPORARY_FAILURE,
+        EndReason::DeadlinePassed => Cause::TIMER_EXPIRY,
+        EndReason::GivenUp => Cause::NORMAL,
+        EndReason::Released(cause) => cause,
+        EndReason::Malformed => Cause(96),
     }
 }
 
 /// Q.850's words for a cause.
-pub fn words(cause: Cause) -> &'static str {
+pub fn cause_text(cause: Cause) -> &'static str {
     match cause.0 {
         16 => "Normal call clearing",
         17 => "User busy",
@@ -52,23 +52,23 @@
 }
 
 /// The elements of a REJECT or HANGUP.
-pub fn elements(ending: Ending) -> Vec<u8> {
-    let (cause, mut out) = (cause(ending), Vec::new());
-    put(&mut out, element::CAUSE, words(cause).as_bytes());
-    put(&mut out, element::CAUSECODE, &[cause.0]);
+pub fn cause_elements(reason: EndReason) -> Vec<u8> {
+    let (cause, mut out) = (cause_for(reason), Vec::new());
+    append_element(&mut out, element::CAUSE, cause_text(cause).as_bytes());
+    append_element(&mut out, element::CAUSECODE, &[cause.0]);
     out
 }
 
 /// What a hub's REJECT or HANGUP means to the core. Without a code, a rejection is just that, and
 /// a hang-up is normal clearing.
-pub fn heard(elements: &Elements, rejected: bool) -> (Cause, RefusalNote) {
+pub fn parse_cause(elements: &Elements, is_reject: bool) -> (Cause, RefusalNote) {
     let code = elements.number(element::CAUSECODE).and_then(|c| u8::try_from(c).ok()).filter(|c| *c > 0);
     match code {
         Some(17) => (Cause::BUSY, RefusalNote::NumberBusy),
         Some(34) => (Cause::NO_CIRCUIT, RefusalNote::Congestion),
         Some(42) => (Cause::NO_CIRCUIT, RefusalNote::Throttled),
         Some(code) => (Cause(code), RefusalNote::None),
-        None if rejected => (Cause(21), RefusalNote::None),
+        None if is_reject => (Cause(21), RefusalNote::None),
         None => (Cause::NORMAL, RefusalNote::None),
     }
 }
--- a/src/iax2/frame.rs
+++ b/src/iax2/frame.rs
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Frame<'a> {
     /// A full frame, which is acknowledged.
-    Full(Full<'a>),
+    Full(FullFrame<'a>),
     /// A mini frame of voice, which is not.
     Mini {
         /// The sender's call number.
@@ -105,13 +105,13 @@
 
 /// A full frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full<'a> {
+pub struct FullFrame<'a> {
     /// The sender's call number.
     pub source: u16,
     /// The receiver's call number; nought while it is not known.
     pub destination: u16,
     /// It is sent again.
-    pub again: bool,
+    pub is_retransmission: bool,
     /// Milliseconds since the call's first frame.
     pub timestamp: u32,
     /// Its sequence number.
@@ -126,22 +126,22 @@
     pub data: &'a [u8],
 }
 
-impl Full<'_> {
+impl FullFrame<'_> {
     /// Whether it is an IAX frame of that subclass.
-    pub fn is(&self, subclass: u32) -> bool {
+    pub fn is_iax(&self, subclass: u32) -> bool {
         self.kind == kind::IAX && self.subclass == subclass
     }
 
     /// Whether it takes a sequence number and is acknowledged.
-    pub fn counts(&self) -> bool {
+    pub fn is_sequenced(&self) -> bool {
         self.kind != kind::IAX || !matches!(self.subclass, iax::ACK | iax::INVAL | iax::VNAK)
     }
 
     /// Writes the frame. A subclass from 128 on must be a power of two, as media formats are.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(12 + self.data.len());
         out.extend_from_slice(&(self.source | 0x8000).to_be_bytes());
-        let again = if self.again { 0x8000 } else { 0 };
+        let again = if self.is_retransmission { 0x8000 } else { 0 };
         out.extend_from_slice(&(self.destination & 0x7fff | again).to_be_bytes());
         out.extend_from_slice(&self.timestamp.to_be_bytes());
         out.extend_from_slice(&[self.oseq, self.iseq, self.kind]);
@@ -156,7 +156,7 @@
 }
 
 /// Writes a mini frame.
-pub fn write_mini(source: u16, timestamp: u16, data: &[u8]) -> Vec<u8> {
+pub fn encode_mini(source: u16, timestamp: u16, data: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(4 + data.len());
     out.extend_from_slice(&(source & 0x7fff).to_be_bytes());
     out.extend_from_slice(&timestamp.to_be_bytes());
@@ -164,7 +164,7 @@
     out
 }
 
-fn full_head<'a>(input: &mut &'a [u8]) -> ModalResult<Full<'a>> {
+fn full_header<'a>(input: &mut &'a [u8]) -> ModalResult<FullFrame<'a>> {
     let (source, destination, timestamp) = (be_u16, be_u16, be_u32).parse_next(input)?;
     let (oseq, iseq, kind, subclass) = (u8, u8, u8, u8).parse_next(input)?;
     let subclass = match subclass {
@@ -172,10 +172,10 @@
         // A power of two; the format of all ones that RFC 5456 sets aside is none of ours.
         high => 1_u32.checked_shl(u32::from(high & 0x7f)).unwrap_or(0),
     };
-    Ok(Full {
+    Ok(FullFrame {
         source: source & 0x7fff,
         destination: destination & 0x7fff,
-        again: destination & 0x8000 != 0,
+        is_retransmission: destination & 0x8000 != 0,
         timestamp,
         oseq,
         iseq,
@@ -189,8 +189,8 @@
 pub fn parse(datagram: &[u8]) -> Option<Frame<'_>> {
     let mut rest = datagram;
     if datagram.first()? & 0x80 != 0 {
-        let full = full_head.parse_next(&mut rest).ok()?;
-        return Some(Frame::Full(Full { data: rest, ..full })).filter(|_| full.source != 0);
+        let full = full_header.parse_next(&mut rest).ok()?;
+        return Some(Frame::Full(FullFrame { data: rest, ..full })).filter(|_| full.source != 0);
     }
     let head: ModalResult<(u16, u16)> = (be_u16, be_u16).parse_next(&mut rest);
     let (source, timestamp) = head.ok()?;
@@ -226,7 +226,7 @@
 }
 
 /// Appends an element; a value of more than 255 bytes is cut.
-pub fn put(out: &mut Vec<u8>, element: u8, value: &[u8]) {
+pub fn append_element(out: &mut Vec<u8>, element: u8, value: &[u8]) {
     let value = &value[..value.len().min(255)];
     out.extend_from_slice(&[element, value.len() as u8]);
     out.extend_from_slice(value);
--- a/src/iax2/mod.rs
+++ b/src/iax2/mod.rs
@@ -8,7 +8,7 @@
 pub mod session;
 
 /// The form of the descriptions that IAX2 legs exchange: a NEW's media formats and calling number.
-pub const FORM: &str = "iax2";
+pub const DESCRIPTION_FORMAT: &str = "iax2";
 
 /// The media formats taken where a leg names none: G.711 mu-law and A-law.
-pub const DEFAULT_FORMATS: u32 = 0x4 | 0x8;
+pub const DEFAULT_MEDIA_FORMATS: u32 = 0x4 | 0x8;
--- a/tests/common/iax2_peers.rs
+++ b/tests/common/iax2_peers.rs
@@ -2,9 +2,9 @@
 
 use crate::peers::{Manner, Record, Seen};
 use petreldock::core::Cause;
-use petreldock::iax2::cause::{elements, Ending};
-use petreldock::iax2::frame::{self, control, element, iax, kind, put, Elements, Frame};
-use petreldock::iax2::session::{Session, Verdict};
+use petreldock::iax2::cause::{cause_elements, EndReason};
+use petreldock::iax2::frame::{self, append_element, control, element, iax, kind, Elements, Frame};
+use petreldock::iax2::session::{ReceiveOutcome, Session};
 use petreldock::interface::Micros;
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -53,7 +53,7 @@
                 let mut out = Vec::new();
                 if let Ok((length, from)) = &read {
                     if let Some(Frame::Full(full)) = frame::parse(&bytes[..*length]) {
-                        let fresh = full.is(iax::NEW) && !calls.contains_key(&full.source);
+                        let fresh = full.is_iax(iax::NEW) && !calls.contains_key(&full.source);
                         if fresh {
                             next += 1;
                             let taken = Taken {
@@ -119,7 +119,7 @@
 #[allow(clippy::too_many_arguments)]
 fn hear(
     call: &mut Taken,
-    full: &frame::Full,
+    full: &frame::FullFrame,
     fresh: bool,
     now: Micros,
     hub: usize,
@@ -128,7 +128,7 @@
     out: &mut Vec<Vec<u8>>,
 ) {
     let note = |number, seen| record.lock().expect("lock").push((Instant::now(), number, hub, seen));
-    if call.session.receive(now, full, out) != Verdict::Next {
+    if call.session.receive(now, full, out) != ReceiveOutcome::Deliver {
         return;
     }
     let read = Elements::parse(full.data).unwrap_or_default();
@@ -141,7 +141,7 @@
             let mut end = |seen, subclass, cause| {
                 note(call.number, seen);
                 call.over = true;
-                let data = elements(Ending::Released(Cause(cause)));
+                let data = cause_elements(EndReason::Released(Cause(cause)));
                 out.extend(call.session.send(now, kind::IAX, subclass, &data));
             };
             match manner {
@@ -199,14 +199,14 @@
         let session = Session::new(line, 0, micros(self.start));
         self.lines.insert(line, (session, Line::default()));
         let mut data = Vec::new();
-        put(&mut data, element::VERSION, &[0, 2]);
-        put(&mut data, element::CALLED_NUMBER, format!("{number:x}").as_bytes());
-        put(&mut data, element::CAPABILITY, &[0, 0, 0, 12]);
+        append_element(&mut data, element::VERSION, &[0, 2]);
+        append_element(&mut data, element::CALLED_NUMBER, format!("{number:x}").as_bytes());
+        append_element(&mut data, element::CAPABILITY, &[0, 0, 0, 12]);
         self.send(line, kind::IAX, iax::NEW, &data);
     }
 
     pub fn hang_up(&mut self, line: u16) {
-        self.send(line, kind::IAX, iax::HANGUP, &elements(Ending::Released(Cause(16))));
+        self.send(line, kind::IAX, iax::HANGUP, &cause_elements(EndReason::Released(Cause(16))));
     }
 
     pub fn speak(&mut self, line: u16, voice: &[u8]) {
@@ -227,7 +227,7 @@
             let now = micros(self.start);
             if let Some(Frame::Full(full)) = read.ok().and_then(|length| frame::parse(&bytes[..length])) {
                 if let Some((session, line)) = self.lines.get_mut(&full.destination) {
-                    if session.receive(now, &full, &mut out) == Verdict::Next {
+                    if session.receive(now, &full, &mut out) == ReceiveOutcome::Deliver {
                         let read = Elements::parse(full.data).unwrap_or_default();
                         let code = read.number(element::CAUSECODE);
                         match (full.kind, full.subclass) {
--- a/tests/iax2.rs
+++ b/tests/iax2.rs
@@ -3,17 +3,19 @@
 
 use petreldock::config::Iax2Calls;
 use petreldock::core::*;
-use petreldock::iax2::cause::{self, Ending};
-use petreldock::iax2::frame::{self, control, element, iax, kind, put, Elements, Frame, Full};
+use petreldock::iax2::cause::{self, EndReason};
+use petreldock::iax2::frame::{
+    self, append_element, control, element, iax, kind, Elements, Frame, FullFrame,
+};
 use petreldock::iax2::front::Front;
 use petreldock::iax2::hub::Link;
-use petreldock::iax2::session::{Session, Verdict, RETRANSMIT, RETRIES};
+use petreldock::iax2::session::{ReceiveOutcome, Session, INITIAL_RETRANSMIT_INTERVAL, MAX_RETRANSMISSIONS};
 use petreldock::interface::{Micros, Report};
 use std::net::SocketAddr;
 
 const SECOND: Micros = Micros(1_000_000);
 
-fn full(datagram: &[u8]) -> Full<'_> {
+fn full(datagram: &[u8]) -> FullFrame<'_> {
     match frame::parse(datagram) {
         Some(Frame::Full(full)) => full,
         other => panic!("a full frame was expected, not {other:?}"),
@@ -58,7 +60,7 @@
             for _ in 0..if lot == 2 { 2 } else { 1 } {
                 let read = full(&frame);
                 let session = if to_far { &mut far } else { &mut near };
-                if session.receive(now, &read, &mut replies) == Verdict::Next && to_far {
+                if session.receive(now, &read, &mut replies) == ReceiveOutcome::Deliver && to_far {
                     acted.push(read.subclass);
                 }
             }
@@ -69,7 +71,7 @@
         near.tick(now, &mut again).expect("the peer is there");
         wire.extend(again.into_iter().map(|f| (0, f, true)));
     }
-    assert!(near.settled(), "all is acknowledged in the end");
+    assert!(near.is_fully_acknowledged(), "all is acknowledged in the end");
     acted
 }
 
@@ -89,10 +91,10 @@
 fn retransmission_is_bounded() {
     let mut session = Session::new(1, 2, Micros(0));
     let first = session.send(Micros(0), kind::IAX, iax::NEW, &[]).expect("room");
-    assert!(!full(&first).again);
+    assert!(!full(&first).is_retransmission);
     let (mut sent, mut now) = (Vec::new(), Micros(0));
     let lost = loop {
-        now = now + RETRANSMIT;
+        now = now + INITIAL_RETRANSMIT_INTERVAL;
         let mut out = Vec::new();
         if session.tick(now, &mut out).is_err() {
             break now;
@@ -100,9 +102,9 @@
         sent.extend(out);
         assert!(now < Micros(60_000_000), "given up at some time");
     };
-    assert_eq!(sent.len(), RETRIES as usize);
-    assert!(sent.iter().all(|f| full(f).again && full(f).oseq == 0));
-    assert_eq!(lost, Micros(RETRANSMIT.0 * 31), "at doubling gaps");
+    assert_eq!(sent.len(), MAX_RETRANSMISSIONS as usize);
+    assert!(sent.iter().all(|f| full(f).is_retransmission && full(f).oseq == 0));
+    assert_eq!(lost, Micros(INITIAL_RETRANSMIT_INTERVAL.0 * 31), "at doubling gaps");
 }
 
 #[test]
@@ -110,8 +112,8 @@
     let (mut near, mut far) = (Session::new(1, 2, Micros(0)), Session::new(2, 1, Micros(0)));
     let frames: Vec<_> = (0..3).map(|n| near.send(Micros(0), kind::DTMF, n, &[]).expect("room")).collect();
     let mut replies = Vec::new();
-    assert_eq!(far.receive(Micros(0), &full(&frames[1]), &mut replies), Verdict::Done);
-    assert!(full(&replies[0]).is(iax::VNAK));
+    assert_eq!(far.receive(Micros(0), &full(&frames[1]), &mut replies), ReceiveOutcome::Consumed);
+    assert!(full(&replies[0]).is_iax(iax::VNAK));
     let mut again = Vec::new();
     near.receive(Micros(0), &full(&replies[0]), &mut again);
     assert_eq!(again.iter().map(|f| full(f).oseq).collect::<Vec<_>>(), [0, 1, 2]);
@@ -120,9 +122,9 @@
         let request = near.send_at(Micros(0), 4321, kind::IAX, asked, &[]).expect("room");
         let mut replies = Vec::new();
         Session::new(2, 1, Micros(0)).receive(SECOND, &full(&request), &mut replies);
-        assert!(full(&replies[0]).is(answered) && full(&replies[0]).timestamp == 4321);
+        assert!(full(&replies[0]).is_iax(answered) && full(&replies[0]).timestamp == 4321);
         near.receive(SECOND, &full(&replies[0]), &mut Vec::new());
-        assert!(near.settled(), "the answer acknowledges");
+        assert!(near.is_fully_acknowledged(), "the answer acknowledges");
     }
 }
 
@@ -130,9 +132,9 @@
 
 fn new_elements() -> Vec<u8> {
     let mut data = Vec::new();
-    put(&mut data, element::VERSION, &[0, 2]);
-    put(&mut data, element::CALLED_NUMBER, b"7f3a");
-    put(&mut data, element::CAPABILITY, &[0, 0, 0, 12]);
+    append_element(&mut data, element::VERSION, &[0, 2]);
+    append_element(&mut data, element::CALLED_NUMBER, b"7f3a");
+    append_element(&mut data, element::CAPABILITY, &[0, 0, 0, 12]);
     data
 }
 
@@ -168,11 +170,11 @@
     /// What the front sent, seen by the phone's transport, acknowledgements aside.
     fn heard(&mut self) -> Vec<(u8, u32, Vec<u8>)> {
         let mut heard = Vec::new();
-        for (to, datagram) in std::mem::take(&mut self.front.out) {
+        for (to, datagram) in std::mem::take(&mut self.front.datagrams) {
             assert_eq!(to, peer(4000));
             let read = full(&datagram);
             let mut replies = Vec::new();
-            if self.session.receive(self.now, &read, &mut replies) == Verdict::Next {
+            if self.session.receive(self.now, &read, &mut replies) == ReceiveOutcome::Deliver {
                 heard.push((read.kind, read.subclass, read.data.to_vec()));
             }
             replies.iter().for_each(|r| self.front.receive(self.now, peer(4000), r));
@@ -190,38 +192,38 @@
     let (mut phone, call) = Phone::dial();
     assert!(phone.heard().is_empty(), "acknowledged, and no answer yet");
     let mut description = Vec::new();
-    put(&mut description, element::FORMAT, &[0, 0, 0, 8]);
-    let description = Description { format: petreldock::iax2::FORM, bytes: description.into() };
-    phone.front.tell(phone.now, ToFront::Answer(Origin(2), call, description));
+    append_element(&mut description, element::FORMAT, &[0, 0, 0, 8]);
+    let description = Description { format: petreldock::iax2::DESCRIPTION_FORMAT, bytes: description.into() };
+    phone.front.handle_message(phone.now, ToFront::Answer(Origin(2), call, description));
     let heard = phone.heard();
     assert_eq!((heard[0].0, heard[0].1), (kind::IAX, iax::ACCEPT));
     assert_eq!(Elements::parse(&heard[0].2).expect("elements").number(element::FORMAT), Some(8));
     assert_eq!((heard[1].0, heard[1].1), (kind::CONTROL, control::ANSWER));
     phone.send(kind::VOICE, 8, b"full");
-    let mini = frame::write_mini(7, 60, b"mini");
+    let mini = frame::encode_mini(7, 60, b"mini");
     phone.front.receive(phone.now, peer(4000), &mini);
     phone.front.receive(phone.now, peer(4001), &mini);
     let media: Vec<_> = phone.front.inputs.drain(..).collect();
     assert_eq!(media.len(), 2, "and none from a foreign address: {media:?}");
     assert!(media.iter().all(|m| matches!(m, Input::Media(FrontId(1), c, _) if *c == call)));
-    phone.send(kind::IAX, iax::HANGUP, &cause::elements(Ending::Released(Cause(31))));
+    phone.send(kind::IAX, iax::HANGUP, &cause::cause_elements(EndReason::Released(Cause(31))));
     assert!(matches!(phone.front.inputs[..], [Input::Hangup(_, c, Cause(31))] if c == call));
     phone.front.tick(phone.now + Micros(6_000_000));
-    assert_eq!(phone.front.kept(), 0);
+    assert_eq!(phone.front.call_count(), 0);
 }
 
 #[test]
 fn a_desk_is_owed_an_answer_and_then_that_it_hears_it() {
     let (mut phone, call) = Phone::dial();
-    assert_eq!(phone.front.owes(), 1, "an answer");
-    phone.front.tell(phone.now, ToFront::Refuse(Origin(2), call, Micros(0)));
+    assert_eq!(phone.front.outstanding_count(), 1, "an answer");
+    phone.front.handle_message(phone.now, ToFront::Refuse(Origin(2), call, Micros(0)));
     // The datagram is lost: at a planned end it is waited for, and sent again.
-    phone.front.out.clear();
-    assert_eq!(phone.front.owes(), 1, "a word that it has not heard");
-    phone.now = phone.now + RETRANSMIT;
+    phone.front.datagrams.clear();
+    assert_eq!(phone.front.outstanding_count(), 1, "a word that it has not heard");
+    phone.now = phone.now + INITIAL_RETRANSMIT_INTERVAL;
     phone.front.tick(phone.now);
     assert!(matches!(phone.heard()[..], [(kind::IAX, iax::REJECT, _)]));
-    assert_eq!(phone.front.owes(), 0);
+    assert_eq!(phone.front.outstanding_count(), 0);
 }
 
 #[test]
@@ -241,10 +243,10 @@
             ToFront::Fail(o, _) => ToFront::Fail(o, call),
             _ => ToFront::Release(None, call, Cause(41)),
         };
-        phone.front.tell(phone.now, message.clone());
+        phone.front.handle_message(phone.now, message.clone());
         let heard = phone.heard();
         assert_eq!((heard[0].1, cause_of(&heard[0].2)), (subclass, Some(code)), "{message:?}");
-        phone.front.tell(phone.now, message);
+        phone.front.handle_message(phone.now, message);
         assert!(phone.heard().is_empty(), "one final answer");
     }
 }
@@ -260,7 +262,7 @@
     phone.send(kind::IAX, iax::HANGUP, &[]);
     assert!(matches!(phone.front.inputs[..], [Input::Withdrawn(_, _, c)] if c == call));
     phone.front.inputs.clear();
-    phone.front.tell(phone.now, ToFront::Answer(Origin(2), call, Description::default()));
+    phone.front.handle_message(phone.now, ToFront::Answer(Origin(2), call, Description::default()));
     assert!(phone.front.inputs.iter().any(|i| matches!(i, Input::Hangup(_, c, _) if *c == call)));
     assert!(phone.heard().is_empty(), "an answer that comes too late is not passed on");
 }
@@ -269,15 +271,15 @@
 fn a_peer_that_forgot_the_call_or_answers_nothing_ends_it() {
     let stand = || {
         let (mut phone, call) = Phone::dial();
-        phone.front.tell(phone.now, ToFront::Answer(Origin(2), call, Description::default()));
+        phone.front.handle_message(phone.now, ToFront::Answer(Origin(2), call, Description::default()));
         (phone, call)
     };
     let (mut phone, call) = stand();
     phone.heard();
-    let inval = Full {
+    let inval = FullFrame {
         source: 7,
         destination: 2,
-        again: false,
+        is_retransmission: false,
         timestamp: 9,
         oseq: 1,
         iseq: 1,
@@ -285,12 +287,12 @@
         subclass: iax::INVAL,
         data: &[],
     };
-    phone.front.receive(phone.now, peer(4000), &inval.write());
+    phone.front.receive(phone.now, peer(4000), &inval.encode());
     assert!(matches!(phone.front.inputs[..], [Input::Hangup(_, c, Cause(41))] if c == call));
     let (mut phone, call) = stand();
     (0..2_000).for_each(|n| phone.front.tick(phone.now + Micros(n * 20_000)));
     assert!(matches!(phone.front.inputs[..], [Input::Hangup(_, c, Cause(41))] if c == call));
-    assert_eq!(phone.front.kept(), 0);
+    assert_eq!(phone.front.call_count(), 0);
 }
 
 #[test]
@@ -298,8 +300,18 @@
     let (mut phone, _) = Phone::dial();
     phone.heard();
     let ask = |kind, subclass, destination, data: &[u8]| {
-        Full { source: 9, destination, again: false, timestamp: 5, oseq: 0, iseq: 0, kind, subclass, data }
-            .write()
+        FullFrame {
+            source: 9,
+            destination,
+            is_retransmission: false,
+            timestamp: 5,
+            oseq: 0,
+            iseq: 0,
+            kind,
+            subclass,
+            data,
+        }
+        .encode()
     };
     let cases = [
         (ask(kind::IAX, iax::POKE, 0, &[]), Some(iax::PONG)),
@@ -311,7 +323,7 @@
     ];
     for (datagram, answer) in cases {
         phone.front.receive(phone.now, peer(4002), &datagram);
-        let said: Vec<_> = phone.front.out.drain(..).collect();
+        let said: Vec<_> = phone.front.datagrams.drain(..).collect();
         let subclass = said.first().map(|(to, d)| {
             assert_eq!((*to, full(d).destination), (peer(4002), 9));
             full(d).subclass
@@ -330,11 +342,11 @@
         let mut session = Session::new(source, 0, Micros(0));
         let frame = session.send(SECOND, kind::IAX, iax::NEW, &new_elements()).expect("room");
         front.receive(SECOND, peer(4000), &frame);
-        let (_, reply) = front.out.pop().expect("each is answered");
-        rejected += u32::from(full(&reply).is(iax::REJECT));
+        let (_, reply) = front.datagrams.pop().expect("each is answered");
+        rejected += u32::from(full(&reply).is_iax(iax::REJECT));
     }
-    assert_eq!((front.kept() as u32 + rejected, front.inputs.len()), (9_000, front.kept()));
-    assert!(rejected > 0 && front.kept() <= 8192);
+    assert_eq!((front.call_count() as u32 + rejected, front.inputs.len()), (9_000, front.call_count()));
+    assert!(rejected > 0 && front.call_count() <= 8192);
     let names: std::collections::HashSet<_> = front
         .inputs
         .iter()
@@ -343,7 +355,7 @@
             other => panic!("{other:?}"),
         })
         .collect();
-    assert_eq!(names.len(), front.kept(), "no name twice");
+    assert_eq!(names.len(), front.call_count(), "no name twice");
 }
 
 // ---- the hub link ----
@@ -369,17 +381,17 @@
 impl Far {
     fn new() -> Far {
         let mut link = Link::default();
-        link.command(SECOND, set_up(1, 10, Micros(4_000_000)));
+        link.handle_command(SECOND, set_up(1, 10, Micros(4_000_000)));
         Far { link, session: Session::new(77, 0, Micros(0)), now: SECOND }
     }
 
     /// What the link sent, seen by the hub's transport.
     fn heard(&mut self) -> Vec<(u32, Vec<u8>)> {
         let mut heard = Vec::new();
-        for datagram in std::mem::take(&mut self.link.out) {
+        for datagram in std::mem::take(&mut self.link.datagrams) {
             let read = full(&datagram);
             let mut replies = Vec::new();
-            if self.session.receive(self.now, &read, &mut replies) == Verdict::Next {
+            if self.session.receive(self.now, &read, &mut replies) == ReceiveOutcome::Deliver {
                 heard.push((read.subclass, read.data.to_vec()));
             }
             replies.iter().for_each(|r| self.link.receive(self.now, r));
@@ -392,8 +404,8 @@
         self.link.receive(self.now, &frame);
     }
 
-    fn news(&mut self) -> Vec<FromHub> {
-        std::mem::take(&mut self.link.news)
+    fn events(&mut self) -> Vec<FromHub> {
+        std::mem::take(&mut self.link.events)
     }
 }
 
@@ -406,14 +418,14 @@
     assert_eq!(&heard[0].1[..4], [element::VERSION, 2, 0, 2], "the version comes first");
     far.send(kind::IAX, iax::ACCEPT, &[element::FORMAT, 4, 0, 0, 0, 4]);
     far.send(kind::CONTROL, control::RINGING, &[]);
-    assert!(far.news().is_empty(), "accepted and ringing is not answered");
+    assert!(far.events().is_empty(), "accepted and ringing is not answered");
     far.send(kind::CONTROL, control::ANSWER, &[]);
-    assert!(matches!(far.news()[..], [FromHub::Answered(CallName(1), _)]));
-    far.link.command(far.now, ToHub::Release(CallName(1), Cause(16)));
+    assert!(matches!(far.events()[..], [FromHub::Answered(CallName(1), _)]));
+    far.link.handle_command(far.now, ToHub::Release(CallName(1), Cause(16)));
     let heard = far.heard();
     assert_eq!((heard[0].0, cause_of(&heard[0].1)), (iax::HANGUP, Some(16)));
     far.link.tick(far.now + Micros(6_000_000));
-    assert_eq!(far.link.kept(), 0);
+    assert_eq!(far.link.call_count(), 0);
 }
 
 #[test]
@@ -423,12 +435,12 @@
         if new_arrives {
             far.heard();
         } else {
-            far.link.out.clear();
+            far.link.datagrams.clear();
         }
-        far.link.command(far.now, ToHub::GiveUp(CallName(1), 10));
-        let news = far.news();
-        assert!(matches!(news[..], [FromHub::GivenUp { attempt: 10, began: true, .. }]), "{news:?}");
-        let said: Vec<_> = far.link.out.iter().map(|d| full(d).subclass).collect();
+        far.link.handle_command(far.now, ToHub::GiveUp(CallName(1), 10));
+        let events = far.events();
+        assert!(matches!(events[..], [FromHub::GivenUp { attempt: 10, began: true, .. }]), "{events:?}");
+        let said: Vec<_> = far.link.datagrams.iter().map(|d| full(d).subclass).collect();
         assert_eq!(said, [iax::HANGUP], "in the same turn");
         if new_arrives {
             assert_eq!(far.heard()[0].0, iax::HANGUP);
@@ -436,11 +448,11 @@
             far.send(kind::CONTROL, control::ANSWER, &[]);
         }
         far.now = far.now + SECOND;
-        far.link.out.clear();
+        far.link.datagrams.clear();
         far.link.tick(far.now);
-        let again: Vec<_> = far.link.out.iter().map(|d| full(d).subclass).collect();
+        let again: Vec<_> = far.link.datagrams.iter().map(|d| full(d).subclass).collect();
         assert!(!again.contains(&iax::NEW), "a lost NEW must not begin the call after all: {again:?}");
-        assert!(far.news().is_empty());
+        assert!(far.events().is_empty());
     }
 }
 
@@ -450,10 +462,10 @@
         let mut far = Far::new();
         far.heard();
         far.send(kind, subclass, data);
-        far.news()
+        far.events()
     };
     let released = |cause, note| vec![FromHub::Released(CallName(1), Cause(cause), note, Report::default())];
-    let reject = |code| cause::elements(Ending::Released(Cause(code)));
+    let reject = |code| cause::cause_elements(EndReason::Released(Cause(code)));
     let same = |a: Vec<FromHub>, b: Vec<FromHub>| assert_eq!(format!("{a:?}"), format!("{b:?}"));
     same(told(kind::IAX, iax::REJECT, &reject(42)), released(34, RefusalNote::Throttled));
     same(told(kind::IAX, iax::REJECT, &reject(34)), released(34, RefusalNote::Congestion));
@@ -462,13 +474,13 @@
     same(told(kind::IAX, iax::AUTHREQ, &[]), released(21, RefusalNote::None));
     same(told(kind::IAX, iax::HANGUP, &reject(16)), released(21, RefusalNote::None));
     let mut silent = Link::default();
-    silent.command(SECOND, set_up(1, 10, Micros(90_000_000)));
+    silent.handle_command(SECOND, set_up(1, 10, Micros(90_000_000)));
     (0..2_000).for_each(|n| silent.tick(SECOND + Micros(n * 20_000)));
-    assert!(matches!(silent.news[..], [FromHub::ConnectionLost(CallName(1), 10)]), "it may have run");
+    assert!(matches!(silent.events[..], [FromHub::ConnectionLost(CallName(1), 10)]), "it may have run");
     let mut closed = Link::default();
-    closed.command(SECOND, set_up(1, 10, Micros(4_000_000)));
-    closed.refused();
-    assert!(matches!(closed.news[..], [FromHub::ConnectionLost(CallName(1), 10), FromHub::Dead]));
+    closed.handle_command(SECOND, set_up(1, 10, Micros(4_000_000)));
+    closed.declare_dead();
+    assert!(matches!(closed.events[..], [FromHub::ConnectionLost(CallName(1), 10), FromHub::Dead]));
 }
 
 /// A call that stands at a hub; ticks for `time` while the hub answers, or says nothing.
@@ -477,39 +489,42 @@
     far.heard();
     far.send(kind::CONTROL, control::ANSWER, &[]);
     far.heard();
-    far.news();
+    far.events();
     let start = far.now;
-    while far.now < start + time && far.link.news.is_empty() {
+    while far.now < start + time && far.link.events.is_empty() {
         far.now = far.now + Micros(20_000);
         far.link.tick(far.now);
         if hub_answers {
             far.heard();
         }
     }
-    (far.now - start, far.news())
+    (far.now - start, far.events())
 }
 
 #[test]
 fn calls_at_a_hub_that_went_silent_are_cut_in_time_and_go_on_at_one_that_answers() {
-    let (took, news) = stands_for(Micros(60_000_000), false);
-    assert!(matches!(news[..], [FromHub::Dead]), "{news:?}");
+    let (took, events) = stands_for(Micros(60_000_000), false);
+    assert!(matches!(events[..], [FromHub::Dead]), "{events:?}");
     // Within 8 s of its end a call is released (PROTOCOL, 'The rules on sockets').
     assert!(took < Micros(8_000_000), "after {took:?}");
-    let (_, news) = stands_for(Micros(60_000_000), true);
-    assert!(news.is_empty(), "{news:?}");
+    let (_, events) = stands_for(Micros(60_000_000), true);
+    assert!(events.is_empty(), "{events:?}");
 }
 
 #[test]
 fn a_drain_and_a_deadline_are_looked_at_before_the_first_frame() {
     let mut link = Link::default();
-    link.command(SECOND, set_up(1, 10, SECOND));
-    link.command(SECOND, ToHub::SetUpCutoff(Some(SECOND)));
-    link.command(SECOND, set_up(2, 11, Micros(4_000_000)));
-    assert!(matches!(link.news[..], [FromHub::NotSent(CallName(1), 10), FromHub::NotSent(CallName(2), 11)]));
-    assert!(link.out.is_empty());
-    link.command(SECOND, ToHub::SetUpCutoff(None));
-    link.command(SECOND, set_up(3, 12, Micros(4_000_000)));
-    assert_eq!(link.out.len(), 1);
+    link.handle_command(SECOND, set_up(1, 10, SECOND));
+    link.handle_command(SECOND, ToHub::SetUpCutoff(Some(SECOND)));
+    link.handle_command(SECOND, set_up(2, 11, Micros(4_000_000)));
+    assert!(matches!(
+        link.events[..],
+        [FromHub::NotSent(CallName(1), 10), FromHub::NotSent(CallName(2), 11)]
+    ));
+    assert!(link.datagrams.is_empty());
+    link.handle_command(SECOND, ToHub::SetUpCutoff(None));
+    link.handle_command(SECOND, set_up(3, 12, Micros(4_000_000)));
+    assert_eq!(link.datagrams.len(), 1);
 }
 
 #[test]
@@ -518,13 +533,13 @@
     far.heard();
     far.send(kind::IAX, iax::ACCEPT, &[]);
     far.send(kind::CONTROL, control::ANSWER, &[]);
-    near.0.front.tell(SECOND, ToFront::Answer(Origin(2), near.1, Description::default()));
+    near.0.front.handle_message(SECOND, ToFront::Answer(Origin(2), near.1, Description::default()));
     near.0.heard();
     near.0.front.inputs.clear();
     let voice = near.0.session.send_at(SECOND, 65_500, kind::VOICE, 4, b"0").expect("room");
     near.0.front.receive(SECOND, peer(4000), &voice);
     for stamp in [65_520_u16, 4, 24] {
-        near.0.front.receive(SECOND, peer(4000), &frame::write_mini(7, stamp, b"m"));
+        near.0.front.receive(SECOND, peer(4000), &frame::encode_mini(7, stamp, b"m"));
     }
     let relayed: Vec<Description> = near
         .0
@@ -537,13 +552,13 @@
         })
         .collect();
     assert_eq!(relayed.len(), 4);
-    far.link.out.clear();
+    far.link.datagrams.clear();
     for frame in relayed {
-        far.link.command(SECOND, ToHub::Media(CallName(1), frame));
+        far.link.handle_command(SECOND, ToHub::Media(CallName(1), frame));
     }
     let stamps: Vec<u16> = far
         .link
-        .out
+        .datagrams
         .iter()
         .map(|d| match frame::parse(d) {
             Some(Frame::Full(full)) => full.timestamp as u16,
@@ -553,7 +568,7 @@
         .collect();
     let gaps: Vec<u16> = stamps.windows(2).map(|w| w[1].wrapping_sub(w[0])).collect();
     assert_eq!(gaps, [20, 20, 20]);
-    assert!(matches!(frame::parse(&far.link.out[0]), Some(Frame::Full(_))), "the format comes first");
+    assert!(matches!(frame::parse(&far.link.datagrams[0]), Some(Frame::Full(_))), "the format comes first");
 }
 
 #[test]
@@ -566,12 +581,12 @@
         // Of an earlier turn, as far as this one can tell.
         ToHub::GiveUp(CallName(3), 13),
     ];
-    link.commands(SECOND, &turn);
-    let out: Vec<_> = link.out.iter().map(|d| full(d).subclass).collect();
+    link.handle_commands(SECOND, &turn);
+    let out: Vec<_> = link.datagrams.iter().map(|d| full(d).subclass).collect();
     assert_eq!(out, [iax::NEW], "the other one alone");
     let given_up = |n: &FromHub| match n {
         FromHub::GivenUp { attempt, began, .. } => (*attempt, *began),
         other => panic!("{other:?}"),
     };
-    assert_eq!(link.news.iter().map(given_up).collect::<Vec<_>>(), [(11, false), (13, true)]);
+    assert_eq!(link.events.iter().map(given_up).collect::<Vec<_>>(), [(11, false), (13, true)]);
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -5,7 +5,7 @@
 
 use garble::feed;
 use petreldock::config::{self, At};
-use petreldock::iax2::frame::{self, element, iax, kind, put, Elements, Frame, Full};
+use petreldock::iax2::frame::{self, append_element, element, iax, kind, Elements, Frame, FullFrame};
 use petreldock::net::sip::{Malformed, StartLine};
 use petreldock::net::{binary, http, sip};
 
@@ -117,12 +117,12 @@
 #[test]
 fn iax2_parser_handles_truncated_and_random_input() {
     let mut data = Vec::new();
-    put(&mut data, element::VERSION, &[0, 2]);
-    put(&mut data, element::CALLED_NUMBER, b"7f3a");
-    let new = Full {
+    append_element(&mut data, element::VERSION, &[0, 2]);
+    append_element(&mut data, element::CALLED_NUMBER, b"7f3a");
+    let new = FullFrame {
         source: 7,
         destination: 0,
-        again: true,
+        is_retransmission: true,
         timestamp: 3,
         oseq: 0,
         iseq: 0,
@@ -130,9 +130,9 @@
         subclass: iax::NEW,
         data: &data,
     };
-    let voice = Full { kind: kind::VOICE, subclass: 1 << 14, data: &[1, 2, 3], ..new };
+    let voice = FullFrame { kind: kind::VOICE, subclass: 1 << 14, data: &[1, 2, 3], ..new };
     for full in [new, voice] {
-        assert_eq!(frame::parse(&full.write()), Some(Frame::Full(full)));
+        assert_eq!(frame::parse(&full.encode()), Some(Frame::Full(full)));
     }
     let elements = Elements::parse(&data).expect("complete");
     assert_eq!(
@@ -140,10 +140,10 @@
         (Some(2), Some("7f3a"))
     );
     assert_eq!(Elements::parse(&data[..data.len() - 1]), None, "truncated");
-    let mini = frame::write_mini(9, 77, b"voice");
+    let mini = frame::encode_mini(9, 77, b"voice");
     assert_eq!(frame::parse(&mini), Some(Frame::Mini { source: 9, timestamp: 77, data: b"voice" }));
     // Frames have no length field, so that a truncated frame can be a valid shorter one.
-    feed(&[new.write(), voice.write(), mini], false, |input| match frame::parse(input) {
+    feed(&[new.encode(), voice.encode(), mini], false, |input| match frame::parse(input) {
         Some(Frame::Full(full)) => {
             let _ = Elements::parse(full.data);
             Ok(Some(full.data.len() + 12))
