--- a/src/iax2/cause.rs
+++ b/src/iax2/cause.rs
@@ -1,28 +1,28 @@
-//! The one table of how calls reason, in IAX2's words: a Q.850 cause code and its text.
+//! Maps the reasons why calls end to Q.850 causes and their texts, and the causes that peers send to refusals.
 
 use super::frame::{append_element, element, Elements};
 use crate::core::{Cause, RefusalNote};
 
-/// How a call, or an attempt, ends towards an IAX2 peer.
+/// Why a call or an attempt ends, as reported to an IAX2 peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// The module refused the call; another try is harmless.
+    /// The controller refused the call; trying again is harmless.
     Refused,
-    /// The call failed before its caller's time was up.
+    /// The call failed before the caller's deadline.
     Failed,
-    /// No answer came before the caller's time was up.
+    /// No answer arrived before the caller's deadline.
     DeadlinePassed,
-    /// An attempt is given up: timed out, or withdrawn by its caller or the module.
+    /// An attempt was given up: it timed out, or the caller or the controller withdrew it.
     GivenUp,
-    /// A call that stood is released with this cause.
+    /// An established call is released with this cause.
     Released(Cause),
-    /// The NEW cannot be read, or speaks another version.
+    /// The NEW is malformed or has an unsupported protocol version.
     Malformed,
-    /// No call number is left.
+    /// The limit on concurrent calls is reached.
     CallLimitReached,
 }
 
-/// The cause that an ending is told with.
+/// Returns the Q.850 cause sent for a reason.
 pub fn cause_for(reason: EndReason) -> Cause {
     match reason {
         EndReason::Refused | EndReason::CallLimitReached => Cause(42),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Q.850's words for a cause.
+/// Returns the text sent with a cause, as Q.850 names it.
 pub fn cause_text(cause: Cause) -> &'static str {
     match cause.0 {
         16 => "Normal call clearing",
@@ -51,7 +51,7 @@
     }
 }
 
-/// The elements of a REJECT or HANGUP.
+/// Encodes the information elements of a REJECT or HANGUP.
 pub fn cause_elements(reason: EndReason) -> Vec<u8> {
     let (cause, mut out) = (cause_for(reason), Vec::new());
     append_element(&mut out, element::CAUSE, cause_text(cause).as_bytes());
@@ -59,8 +59,8 @@
     out
 }
 
-/// What a hub's REJECT or HANGUP means to the core. Without a code, a rejection is just that, and
-/// a hang-up is normal clearing.
+/// Decodes the cause of a peer's REJECT or HANGUP. Without a cause code, a REJECT means call rejected (21) and a
+/// HANGUP means normal call clearing (16).
 pub fn parse_cause(elements: &Elements, is_reject: bool) -> (Cause, RefusalNote) {
     let code = elements.number(element::CAUSECODE).and_then(|c| u8::try_from(c).ok()).filter(|c| *c > 0);
     match code {
--- a/src/iax2/cause/tests.rs
+++ b/src/iax2/cause/tests.rs
@@ -1,9 +1,9 @@
-//! The table of causes.
+//! Tests of the cause table.
 
 use super::*;
 
 #[test]
-fn every_ending_has_its_cause_and_is_read_back() {
+fn each_end_reason_encodes_to_its_cause_and_decodes_again() {
     let table = [
         (EndReason::Refused, 42, "Switching equipment congestion", (Cause(34), RefusalNote::Throttled)),
         (
@@ -32,7 +32,7 @@
     ];
     for (end, code, text, parsed) in table {
         let bytes = cause_elements(end);
-        let read = Elements::parse(&bytes).expect("whole");
+        let read = Elements::parse(&bytes).expect("complete elements");
         assert_eq!(read.number(element::CAUSECODE), Some(code), "{end:?}");
         assert_eq!(read.text(element::CAUSE), Some(text), "{end:?}");
         assert_eq!(parse_cause(&read, false), parsed, "{end:?}");
--- a/src/iax2/frame.rs
+++ b/src/iax2/frame.rs
@@ -1,4 +1,4 @@
-//! IAX2 frames and information elements (RFC 5456, section 8).
+//! Encoding and decoding of IAX2 frames and information elements (RFC 5456, section 8).
 
 use winnow::binary::{be_u16, be_u32, length_take, u8};
 use winnow::combinator::repeat;
@@ -19,9 +19,9 @@
 
 /// Subclasses of control frames.
 pub mod control {
-    /// The peer hung up.
+    /// The far end hung up.
     pub const HANGUP: u32 = 1;
-    /// The far end rings.
+    /// The far end is ringing.
     pub const RINGING: u32 = 3;
     /// The far end answered.
     pub const ANSWER: u32 = 4;
@@ -35,109 +35,109 @@
 pub mod iax {
     /// A new call.
     pub const NEW: u32 = 0x01;
-    /// A liveness test.
+    /// A liveness probe within a call.
     pub const PING: u32 = 0x02;
-    /// Its answer.
+    /// The reply to PING or POKE.
     pub const PONG: u32 = 0x03;
-    /// A frame was received.
+    /// An acknowledgement of received frames.
     pub const ACK: u32 = 0x04;
     /// The call is over.
     pub const HANGUP: u32 = 0x05;
     /// The call is rejected.
     pub const REJECT: u32 = 0x06;
-    /// The call is accepted; it is not answered yet.
+    /// The call is accepted, but not answered yet.
     pub const ACCEPT: u32 = 0x07;
-    /// Credentials are wanted.
+    /// A request for credentials.
     pub const AUTHREQ: u32 = 0x08;
-    /// The call number is not known.
+    /// The call number is unknown.
     pub const INVAL: u32 = 0x0a;
-    /// A lag measurement.
+    /// A lag request.
     pub const LAGRQ: u32 = 0x0b;
-    /// Its answer.
+    /// The reply to LAGRQ.
     pub const LAGRP: u32 = 0x0c;
-    /// A registration.
+    /// A registration request.
     pub const REGREQ: u32 = 0x0d;
-    /// Its rejection.
+    /// The rejection of a REGREQ.
     pub const REGREJ: u32 = 0x10;
-    /// Frames are missing.
+    /// A request to retransmit missing frames.
     pub const VNAK: u32 = 0x12;
-    /// A liveness test outside a call.
+    /// A liveness probe outside a call.
     pub const POKE: u32 = 0x1e;
     /// The subclass is not supported.
     pub const UNSUPPORT: u32 = 0x21;
 }
 
-/// Information elements.
+/// Numbers of the information elements.
 pub mod element {
     /// The number called.
     pub const CALLED_NUMBER: u8 = 0x01;
     /// The number calling.
     pub const CALLING_NUMBER: u8 = 0x02;
-    /// Media formats that a leg can do.
+    /// Bit set of the media formats that the sender supports.
     pub const CAPABILITY: u8 = 0x08;
-    /// The media format wanted.
+    /// The media format requested or chosen.
     pub const FORMAT: u8 = 0x09;
-    /// The protocol's version, which is 2.
+    /// The protocol version, which is 2.
     pub const VERSION: u8 = 0x0b;
-    /// A cause in words.
+    /// The text of a cause.
     pub const CAUSE: u8 = 0x16;
-    /// A subclass that is not known.
+    /// The subclass that the sender of an UNSUPPORT does not know.
     pub const IAX_UNKNOWN: u8 = 0x17;
-    /// A Q.850 cause.
+    /// A Q.850 cause code.
     pub const CAUSECODE: u8 = 0x2a;
 }
 
-/// A frame.
+/// A decoded IAX2 frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Frame<'a> {
-    /// A full frame, which is acknowledged.
+    /// A full frame, delivered reliably.
     Full(FullFrame<'a>),
-    /// A mini frame of voice, which is not.
+    /// A mini frame, which carries voice and is not acknowledged.
     Mini {
         /// The sender's call number.
         source: u16,
-        /// The low half of the timestamp.
+        /// The low 16 bits of the timestamp.
         timestamp: u16,
-        /// The voice.
+        /// The encoded voice.
         data: &'a [u8],
     },
 }
 
-/// A full frame.
+/// A full frame (RFC 5456, section 8.1.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FullFrame<'a> {
     /// The sender's call number.
     pub source: u16,
-    /// The receiver's call number; nought while it is not known.
+    /// The receiver's call number; 0 while it is unknown.
     pub destination: u16,
-    /// It is sent again.
+    /// Whether the frame is a retransmission (the R bit).
     pub is_retransmission: bool,
-    /// Milliseconds since the call's first frame.
+    /// Milliseconds since the first frame of the call.
     pub timestamp: u32,
-    /// Its sequence number.
+    /// The frame's own sequence number.
     pub oseq: u8,
-    /// The sequence number that its sender expects next.
+    /// The sequence number that the sender expects next; it acknowledges all lower ones.
     pub iseq: u8,
-    /// Its type.
+    /// The frame type; see [`kind`].
     pub kind: u8,
-    /// Its subclass.
+    /// The subclass; its meaning depends on the frame type.
     pub subclass: u32,
-    /// What it carries.
+    /// The payload: information elements or media.
     pub data: &'a [u8],
 }
 
 impl FullFrame<'_> {
-    /// Whether it is an IAX frame of that subclass.
+    /// Returns whether this is an IAX frame of the given subclass.
     pub fn is_iax(&self, subclass: u32) -> bool {
         self.kind == kind::IAX && self.subclass == subclass
     }
 
-    /// Whether it takes a sequence number and is acknowledged.
+    /// Returns whether the frame consumes a sequence number and must be acknowledged.
     pub fn is_sequenced(&self) -> bool {
         self.kind != kind::IAX || !matches!(self.subclass, iax::ACK | iax::INVAL | iax::VNAK)
     }
 
-    /// Writes the frame. A subclass from 128 on must be a power of two, as media formats are.
+    /// Encodes the frame. A subclass of 128 or more must be a power of two, as media formats are.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(12 + self.data.len());
         out.extend_from_slice(&(self.source | 0x8000).to_be_bytes());
@@ -155,7 +155,7 @@
     }
 }
 
-/// Writes a mini frame.
+/// Encodes a mini frame.
 pub fn encode_mini(source: u16, timestamp: u16, data: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(4 + data.len());
     out.extend_from_slice(&(source & 0x7fff).to_be_bytes());
@@ -169,7 +169,8 @@
     let (oseq, iseq, kind, subclass) = (u8, u8, u8, u8).parse_next(input)?;
     let subclass = match subclass {
         low @ 0..=0x7f => u32::from(low),
-        // A power of two; the format of all ones that RFC 5456 sets aside is none of ours.
+        // The low seven bits are the exponent of a power of two. All ones are reserved by RFC 5456 and decode to 0,
+        // which is no media format.
         high => 1_u32.checked_shl(u32::from(high & 0x7f)).unwrap_or(0),
     };
     Ok(FullFrame {
@@ -185,7 +186,7 @@
     })
 }
 
-/// Reads a datagram; `None`: it is no frame, or one of a kind that is not spoken here (meta frames).
+/// Decodes a datagram. Returns `None` if it is not a valid frame or is a meta frame, which is not supported.
 pub fn parse(datagram: &[u8]) -> Option<Frame<'_>> {
     let mut rest = datagram;
     if datagram.first()? & 0x80 != 0 {
@@ -197,35 +198,35 @@
     Some(Frame::Mini { source, timestamp, data: rest }).filter(|_| source != 0)
 }
 
-/// Information elements in their order.
+/// The information elements of a frame in the order sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Elements<'a>(Vec<(u8, &'a [u8])>);
 
 impl<'a> Elements<'a> {
-    /// Reads a frame's elements; `None`: they are cut short or garbled.
+    /// Decodes a frame's elements. Returns `None` if they are truncated or malformed.
     pub fn parse(data: &'a [u8]) -> Option<Elements<'a>> {
         let element = (u8::<_, ErrMode<ContextError>>, length_take(u8));
         repeat(0.., element).parse(data).ok().map(Elements)
     }
 
-    /// The first element of that kind.
+    /// Returns the value of the first element with this number.
     pub fn get(&self, element: u8) -> Option<&'a [u8]> {
         self.0.iter().find(|(e, _)| *e == element).map(|(_, v)| *v)
     }
 
-    /// Its text, if it is text.
+    /// Returns the value of the first such element as text, if it is valid UTF-8.
     pub fn text(&self, element: u8) -> Option<&'a str> {
         self.get(element).and_then(|v| std::str::from_utf8(v).ok())
     }
 
-    /// Its number, of one, two or four bytes.
+    /// Returns the value of the first such element as a big-endian integer of one, two or four bytes.
     pub fn number(&self, element: u8) -> Option<u32> {
         let bytes = self.get(element).filter(|v| matches!(v.len(), 1 | 2 | 4))?;
         Some(bytes.iter().fold(0, |n, b| n << 8 | u32::from(*b)))
     }
 }
 
-/// Appends an element; a value of more than 255 bytes is cut.
+/// Appends an element; a value longer than 255 bytes is truncated.
 pub fn append_element(out: &mut Vec<u8>, element: u8, value: &[u8]) {
     let value = &value[..value.len().min(255)];
     out.extend_from_slice(&[element, value.len() as u8]);
--- a/src/iax2/front.rs
+++ b/src/iax2/front.rs
@@ -1,6 +1,6 @@
-//! The IAX2 front: answers desk equipment's calls through the core.
+//! The IAX2 front: serves the calls of desk equipment through the core.
 //!
-//! [`Front`] keeps the calls and owns neither clock nor socket; [`run`] gives it both.
+//! [`Front`] holds the state of the calls and has no clock or socket of its own; [`run`] drives it with both.
 
 use super::cause::{self, EndReason};
 use super::frame::{self, append_element, element, iax, kind, Elements, Frame, FullFrame};
@@ -20,34 +20,36 @@
 use tokio::sync::mpsc;
 use tokio::time::{Duration, MissedTickBehavior};
 
-/// How often retransmissions are looked after.
+/// Interval at which retransmissions and timeouts are checked.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Calls at most; a call number is not taken again while its call lingers.
+/// Limit on calls, including ended ones that linger; a call number is not reused while its call lingers.
 const MAX_CALLS: usize = 8192;
-/// Our number in answers outside a call.
+/// Local call number in replies that belong to no call.
 const OUT_OF_CALL_NUMBER: u16 = 1;
-/// A call that is over still answers repeats for so long.
+/// Time for which an ended call still answers retransmissions.
 pub const LINGER_TIMEOUT: Micros = Micros(5_000_000);
-/// A call failed this close to its deadline is told that its time is up.
+/// A call that fails within this time before its deadline, or later, is reported as timed out.
 const DEADLINE_TOLERANCE: Micros = Micros(50_000);
-/// The longest datagram that is read.
+/// Size of the receive buffer; a longer datagram is truncated.
 pub const MAX_DATAGRAM_BYTES: usize = 4096;
 
+/// State of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The core has not answered yet.
+    /// The core has not answered the set-up yet.
     Offered,
-    /// The call stands.
+    /// The call is established.
     Established,
-    /// Over; only repeats are answered, until then.
+    /// The call is over. Until this time retransmissions are still answered.
     Ended(Micros),
 }
 
+/// A call at the front.
 struct Call {
     session: Session,
     peer: SocketAddr,
     name: CallName,
-    /// The NEW's timestamp, which tells a repeat from another call.
+    /// Timestamp of the NEW, which distinguishes its retransmission from a new call.
     new_timestamp: u32,
     formats: u32,
     deadline: Micros,
@@ -55,7 +57,7 @@
     media: MediaStream,
 }
 
-/// The front's calls.
+/// The state of the front's calls.
 pub struct Front {
     id: FrontId,
     class: Arc<str>,
@@ -67,14 +69,14 @@
     last_number: u16,
     last_name_index: u64,
     name_hasher: RandomState,
-    /// Datagrams to send.
+    /// Datagrams waiting to be sent.
     pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// What the core is to be told.
+    /// Inputs waiting to be sent to the core.
     pub inputs: Vec<Input>,
 }
 
 impl Front {
-    /// A front without calls; those that come are taken for calls as `defaults` says.
+    /// Creates a front without calls. `defaults` gives the class, place and answer time of its calls.
     pub fn new(id: FrontId, defaults: &Iax2Calls) -> Front {
         Front {
             id,
@@ -92,12 +94,12 @@
         }
     }
 
-    /// Calls that are kept, with those that linger.
+    /// Returns the number of calls, including ended ones that linger.
     pub fn call_count(&self) -> usize {
         self.calls.len()
     }
 
-    /// Calls whose desk is owed a word: an answer that was not given, or frames that it has not heard.
+    /// Returns the number of calls with outstanding work: a set-up without an answer, or unacknowledged frames.
     pub fn outstanding_count(&self) -> usize {
         self.calls
             .values()
@@ -105,13 +107,13 @@
             .count()
     }
 
-    /// Takes a datagram in.
+    /// Processes a datagram.
     pub fn receive(&mut self, now: Micros, from: SocketAddr, datagram: &[u8]) {
         let Some(parsed) = frame::parse(datagram) else { return };
         match parsed {
             Frame::Full(full) if full.destination == 0 => self.on_frame_without_call(now, from, &full),
             Frame::Full(full) => {
-                // A frame belongs to a call only if it comes from the call's peer, address and number.
+                // A frame belongs to a call only if the peer's address and call number both match.
                 let call = self.calls.get(&full.destination);
                 if call.is_some_and(|c| c.peer == from && c.session.remote == full.source) {
                     self.on_call_frame(now, full.destination, &full);
@@ -134,9 +136,9 @@
             if is_repeat || !full.is_iax(iax::NEW) {
                 return self.on_call_frame(now, local, full);
             }
-            // Another call under a number whose last call lingers, or was left without a word.
+            // A new call reuses the number of a call that lingers, or that the peer abandoned without a HANGUP.
             self.abort_call(now, local, true);
-            self.remove(local);
+            self.remove_call(local);
         }
         let reply = |subclass, data: &[u8]| encode_reply_without_call(full, subclass, data);
         match full.subclass {
@@ -170,7 +172,7 @@
         self.last_name_index += 1;
         let name = CallName(self.name_hasher.hash_one(self.last_name_index));
         let formats = elements.number(element::CAPABILITY).or(elements.number(element::FORMAT));
-        let wanted = elements.number(element::FORMAT).filter(|f| f.count_ones() == 1);
+        let requested = elements.number(element::FORMAT).filter(|f| f.count_ones() == 1);
         let mut call = Call {
             session: Session::new(local, full.source, now),
             peer: from,
@@ -186,8 +188,8 @@
         self.datagrams.extend(out.into_iter().map(|d| (from, d)));
         let mut description = Vec::new();
         append_element(&mut description, element::CAPABILITY, &call.formats.to_be_bytes());
-        if let Some(wanted) = wanted {
-            append_element(&mut description, element::FORMAT, &wanted.to_be_bytes());
+        if let Some(requested) = requested {
+            append_element(&mut description, element::FORMAT, &requested.to_be_bytes());
         }
         if let Some(calling) = elements.get(element::CALLING_NUMBER) {
             append_element(&mut description, element::CALLING_NUMBER, calling);
@@ -237,11 +239,11 @@
                 (kind::VOICE | kind::DTMF, _) => {
                     self.inputs.extend(media_input(self.id, call, &Frame::Full(*full)));
                 }
-                // A frame type that is not spoken is acknowledged and skipped; a subclass is told.
-                (kind::IAX, known)
-                    if !matches!(known, iax::PONG | iax::LAGRP | iax::UNSUPPORT | iax::NEW) =>
+                // An unsupported frame type is acknowledged and ignored; an unsupported IAX subclass is reported.
+                (kind::IAX, subclass)
+                    if !matches!(subclass, iax::PONG | iax::LAGRP | iax::UNSUPPORT | iax::NEW) =>
                 {
-                    let data = [element::IAX_UNKNOWN, 1, known as u8];
+                    let data = [element::IAX_UNKNOWN, 1, subclass as u8];
                     let reply = call.session.send(now, kind::IAX, iax::UNSUPPORT, &data);
                     self.datagrams.extend(reply.map(|d| (peer, d)));
                 }
@@ -250,7 +252,7 @@
         }
     }
 
-    /// The caller hung up, or its leg is lost: the core is told, and repeats are answered for a while.
+    /// Ends a call whose caller hung up or was lost: informs the core, and lets the call linger for retransmissions.
     fn end_call(&mut self, now: Micros, local: u16, cause: Cause) {
         let Some(call) = self.calls.get_mut(&local) else { return };
         call.session.discard_unacknowledged();
@@ -263,11 +265,12 @@
         self.by_name.remove(&call.name);
     }
 
+    /// Ends a call without a HANGUP: the peer replaced it, does not know it, or no longer acknowledges frames.
     fn abort_call(&mut self, now: Micros, local: u16, is_replaced: bool) {
         self.end_call(now, local, if is_replaced { Cause::NORMAL } else { Cause::TEMPORARY_FAILURE });
     }
 
-    fn remove(&mut self, local: u16) {
+    fn remove_call(&mut self, local: u16) {
         if let Some(call) = self.calls.remove(&local) {
             let key = (call.peer, call.session.remote);
             if self.by_peer.get(&key) == Some(&local) {
@@ -277,7 +280,7 @@
         }
     }
 
-    /// Takes an answer of the core.
+    /// Processes a message from the core.
     pub fn handle_message(&mut self, now: Micros, message: ToFront) {
         let name = match &message {
             ToFront::Answer(_, name, _)
@@ -288,7 +291,7 @@
         };
         let local = self.by_name.get(&name).copied();
         let Some((local, call)) = local.and_then(|l| self.calls.get_mut(&l).map(|c| (l, c))) else {
-            // Danger: the caller hung up while the answer was under way; nobody has the call.
+            // The caller hung up while the answer was on its way, so the call must be released at the hub.
             if let ToFront::Answer(..) = message {
                 self.inputs.push(Input::Hangup(self.id, name, Cause::NORMAL));
             }
@@ -332,7 +335,8 @@
         self.datagrams.extend(out.into_iter().map(|d| (peer, d)));
     }
 
-    /// Sends again what is due, and forgets what is over.
+    /// Retransmits the frames that are due, ends the calls of lost peers, and removes ended calls after their linger
+    /// time.
     pub fn tick(&mut self, now: Micros) {
         let (mut lost, mut expired) = (Vec::new(), Vec::new());
         for (local, call) in &mut self.calls {
@@ -349,24 +353,24 @@
         }
         for local in lost {
             self.abort_call(now, local, false);
-            self.remove(local);
+            self.remove_call(local);
         }
-        expired.into_iter().for_each(|local| self.remove(local));
+        expired.into_iter().for_each(|local| self.remove_call(local));
     }
 }
 
-/// A frame of media for the core, if the call stands.
+/// Returns the core's input for a media frame, if the call is established.
 fn media_input(id: FrontId, call: &mut Call, frame: &Frame) -> Option<Input> {
     let media = call.media.receive(frame)?;
     Some(Input::Media(id, call.name, media.to_description())).filter(|_| call.state == State::Established)
 }
 
-/// The lowest of several formats.
+/// Returns the lowest bit of a set of media formats.
 pub fn lowest_format(formats: u32) -> u32 {
     formats & formats.wrapping_neg()
 }
 
-/// Says that a frame's call is not known.
+/// Encodes an INVAL, which reports that the call of a frame is unknown.
 pub fn encode_inval(full: &FullFrame) -> Vec<u8> {
     let (source, destination) = (full.destination.max(OUT_OF_CALL_NUMBER), full.source);
     FullFrame {
@@ -383,6 +387,7 @@
     .encode()
 }
 
+/// Encodes a reply to a frame that belongs to no call.
 fn encode_reply_without_call(full: &FullFrame, subclass: u32, data: &[u8]) -> Vec<u8> {
     let (source, destination) = (OUT_OF_CALL_NUMBER, full.source);
     let iseq = full.oseq.wrapping_add(1);
@@ -400,7 +405,7 @@
     .encode()
 }
 
-/// Serves desk equipment for ever.
+/// Serves desk equipment until the core's channel closes. The front's outstanding work is added to `pending_work`.
 pub async fn run(
     mut front: Front,
     socket: UdpSocket,
@@ -416,7 +421,7 @@
     loop {
         tokio::select! {
             received = socket.recv_from(&mut datagram) => {
-                // An error here tells of a peer that is gone; its retransmissions find that out.
+                // An error reports an unreachable peer, which the retransmissions detect as well.
                 if let Ok((length, from)) = received {
                     front.receive(clock.now(), from, &datagram[..length]);
                 }
@@ -431,7 +436,7 @@
             }
         }
         for (to, datagram) in front.datagrams.drain(..) {
-            // What a full socket drops is sent again as any lost datagram.
+            // A datagram that a full socket buffer rejects is treated as lost in the network.
             let _ = socket.try_send_to(&datagram, to);
         }
         for input in front.inputs.drain(..) {
--- a/src/iax2/hub.rs
+++ b/src/iax2/hub.rs
@@ -1,6 +1,6 @@
-//! The link to one IAX2 hub: places calls there for the core.
+//! The link to one IAX2 hub: places the core's calls there.
 //!
-//! [`Link`] keeps the calls and owns neither clock nor socket; [`start`] gives it both.
+//! [`Link`] holds the state of the calls and has no clock or socket of its own; [`start`] runs it with both.
 
 use super::cause::{self, EndReason};
 use super::frame::{self, append_element, control, element, iax, kind, Elements, Frame, FullFrame};
@@ -17,28 +17,33 @@
 use tokio::sync::mpsc;
 use tokio::time::{Duration, MissedTickBehavior};
 
-/// Calls at most; what is more is answered as not sent.
+/// Limit on calls, including ended ones that linger; further set-ups are reported as not sent.
 const MAX_CALLS: usize = 8192;
-/// Commands that are taken in before anything is sent.
+/// Limit on commands processed as one batch, before anything is sent.
 const MAX_COMMANDS_PER_BATCH: usize = 256;
-/// A socket that cannot be opened is tried again after this.
+/// Delay before another attempt to open the socket.
 const SOCKET_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A hub with calls that said nothing for this long is asked whether it is there (PING, RFC 5456, 6.7.2).
+/// A hub with established calls is sent a PING after this much silence (RFC 5456, section 6.7.2).
 const SILENCE_BEFORE_PING: Micros = Micros(3_000_000);
-/// Its process is dead if it said nothing for this long, so that its calls are released within 8 s,
+/// A hub is declared dead after this much silence if it also left a PING unanswered for [`PING_TIMEOUT`]. Calls at a
+/// hub that went silent must be released within 8 s.
 const MAX_SILENCE: Micros = Micros(6_500_000);
-/// ... and left the question unanswered for this long.
+/// Time without a reply to a PING after which a silent hub may be declared dead.
 const PING_TIMEOUT: Micros = Micros(1_500_000);
 
+/// State of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// The set-up was sent and is not answered.
     Pending,
+    /// The call is established.
     Established,
-    /// Over; only repeats are answered, until then.
+    /// The call is over. Until this time retransmissions are still answered.
     Ended(Micros),
 }
 
+/// A call at the hub.
 struct Call {
     session: Session,
     name: CallName,
@@ -48,30 +53,31 @@
     media: MediaStream,
 }
 
-/// The link's calls.
+/// The state of the link's calls.
 #[derive(Default)]
 pub struct Link {
     calls: BTreeMap<u16, Call>,
     by_name: HashMap<CallName, u16>,
     last_number: u16,
+    /// Time from which no set-up may start; see [`ToHub::SetUpCutoff`].
     set_up_cutoff: Option<Micros>,
-    /// When the hub last said anything.
+    /// Time of the latest datagram from the hub.
     last_received: Micros,
-    /// Since when it has left the question unanswered whether it is there.
+    /// Time of the liveness PING, if nothing was received since.
     pinged_at: Option<Micros>,
-    /// Datagrams to send.
+    /// Datagrams waiting to be sent.
     pub datagrams: Vec<Vec<u8>>,
-    /// What the core is to be told.
+    /// Events waiting to be sent to the core.
     pub events: Vec<FromHub>,
 }
 
 impl Link {
-    /// Calls that are kept, with those that linger.
+    /// Returns the number of calls, including ended ones that linger.
     pub fn call_count(&self) -> usize {
         self.calls.len()
     }
 
-    /// Does what the core says in one turn. A set-up that is given up later in the turn never goes out.
+    /// Executes a batch of commands. A set-up that is given up later in the same batch is never sent.
     pub fn handle_commands(&mut self, now: Micros, batch: &[ToHub]) {
         let given_up = |command: &ToHub| match command {
             ToHub::GiveUp(_, attempt) => Some(*attempt),
@@ -92,7 +98,7 @@
         }
     }
 
-    /// Does what the core says.
+    /// Executes one command.
     pub fn handle_command(&mut self, now: Micros, command: ToHub) {
         match command {
             ToHub::SetUp(set_up) => self.set_up(now, set_up),
@@ -117,7 +123,7 @@
         }
     }
 
-    /// Gives up all set-ups that are out; each may have run.
+    /// Gives up all pending set-ups. They are reported as lost with the connection, because each may have run.
     fn close(&mut self, now: Micros) {
         let pending = self.calls.values().filter(|c| c.state == State::Pending);
         let pending: Vec<(CallName, u64)> = pending.map(|c| (c.name, c.attempt)).collect();
@@ -140,7 +146,7 @@
         let formats = elements.number(element::CAPABILITY).unwrap_or(DEFAULT_MEDIA_FORMATS);
         let format = elements.number(element::FORMAT).unwrap_or(lowest_format(formats));
         let mut data = Vec::new();
-        // The version is the first element (RFC 5456, 8.6.10).
+        // The version must be the first element (RFC 5456, section 8.6.10).
         append_element(&mut data, element::VERSION, &2_u16.to_be_bytes());
         append_element(&mut data, element::CALLED_NUMBER, set_up.number.as_bytes());
         if let Some(calling) = elements.get(element::CALLING_NUMBER) {
@@ -170,7 +176,8 @@
         }
     }
 
-    /// Hangs a call up; what was sent before is void, so that a lost NEW cannot begin it any more.
+    /// Hangs up a call. Earlier frames are no longer retransmitted, so that a NEW that was lost cannot start the call
+    /// afterwards.
     fn hang_up(&mut self, now: Micros, name: CallName, reason: EndReason) {
         let local = self.by_name.remove(&name);
         let Some(call) = local.and_then(|l| self.calls.get_mut(&l)) else { return };
@@ -179,7 +186,7 @@
         call.state = State::Ended(now + LINGER_TIMEOUT);
     }
 
-    /// Takes a datagram in.
+    /// Processes a datagram.
     pub fn receive(&mut self, now: Micros, datagram: &[u8]) {
         let Some(parsed) = frame::parse(datagram) else { return };
         (self.last_received, self.pinged_at) = (now, None);
@@ -236,11 +243,11 @@
                 let elements = Elements::parse(full.data).unwrap_or_default();
                 let is_reject = subclass == iax::REJECT;
                 let (cause, note) = cause::parse_cause(&elements, is_reject);
-                // Before the answer, normal clearing is no success: the hub did not take the call.
+                // Normal clearing before the answer means that the hub did not accept the call.
                 let cause = if state == State::Pending && cause == Cause::NORMAL { Cause(21) } else { cause };
                 Some(released(cause, note))
             }
-            // No credentials are held here.
+            // There are no credentials to authenticate with.
             (_, kind::IAX, iax::AUTHREQ) => {
                 self.hang_up(now, name, EndReason::GivenUp);
                 return self.events.push(released(Cause(21), RefusalNote::None));
@@ -278,8 +285,8 @@
                 self.events.extend(media.map(|m| FromHub::Media(name, m.to_description())));
                 None
             }
-            (_, kind::IAX, known) if !matches!(known, iax::PONG | iax::LAGRP | iax::UNSUPPORT) => {
-                let data = [element::IAX_UNKNOWN, 1, known as u8];
+            (_, kind::IAX, subclass) if !matches!(subclass, iax::PONG | iax::LAGRP | iax::UNSUPPORT) => {
+                let data = [element::IAX_UNKNOWN, 1, subclass as u8];
                 self.datagrams.extend(call.session.send(now, kind::IAX, iax::UNSUPPORT, &data));
                 None
             }
@@ -293,7 +300,8 @@
         }
     }
 
-    /// Sends again what is due, gives up a hub that acknowledges nothing, forgets what is over.
+    /// Retransmits the frames that are due, ends calls whose frames are not acknowledged, removes ended calls after
+    /// their linger time, and checks whether the hub is alive.
     pub fn tick(&mut self, now: Micros) {
         let mut expired = Vec::new();
         for (local, call) in &mut self.calls {
@@ -325,8 +333,8 @@
         self.check_liveness(now);
     }
 
-    /// Asks a hub that went silent with calls whether it is there, and holds it to be dead without an answer. Danger:
-    /// each call's own transport gives a hub up only half a minute later.
+    /// Sends a PING to a hub that is silent while calls are established, and declares it dead if it stays silent. The
+    /// transport of a call alone would give the hub up only half a minute later.
     fn check_liveness(&mut self, now: Micros) {
         let Some(call) = self.calls.values_mut().find(|call| call.state == State::Established) else {
             return;
@@ -357,8 +365,9 @@
         }
     }
 
-    /// The hub's process is dead: its port is closed, or it answers nothing. Danger: the port is told for the socket, not for a
-    /// datagram, so that it is no proof of what never ran: a NEW may have reached the process before it died.
+    /// Declares the hub's process dead, because its port is closed or it no longer answers. The ICMP error of a
+    /// closed port is reported for the socket, not for a datagram. It therefore does not prove that a pending set-up
+    /// never ran: its NEW may have reached the process before it died.
     pub fn declare_dead(&mut self) {
         for call in std::mem::take(&mut self.calls).into_values() {
             if call.state == State::Pending {
@@ -373,12 +382,12 @@
 
 async fn open_socket(local: SocketAddr, hub: SocketAddr) -> io::Result<UdpSocket> {
     let socket = UdpSocket::bind(SocketAddr::new(local.ip(), 0)).await?;
-    // A connected socket takes datagrams from the hub's address alone, and hears of a closed port.
+    // A connected socket receives datagrams from the hub's address only, and reports ICMP errors for a closed port.
     socket.connect(hub).await?;
     Ok(socket)
 }
 
-/// Starts a link's task; it ends at [`ToHub::Close`] or once the core is gone.
+/// Starts the task of a link, which ends at [`ToHub::Close`] or when the core's channel closes.
 pub fn start(
     id: LinkId,
     local: SocketAddr,
@@ -402,9 +411,9 @@
     let socket = loop {
         match open_socket(local, hub).await {
             Ok(socket) => break socket,
-            Err(error) => tracing::warn!(%hub, "IAX2 hub: {error}"),
+            Err(error) => tracing::warn!(%hub, "cannot open a socket to the IAX2 hub: {error}"),
         }
-        // Danger: a socket that does not open must not leave set-ups without an end.
+        // While the socket cannot be opened, set-ups are reported as unreachable: each must get an end.
         let retry = tokio::time::sleep(SOCKET_RETRY_INTERVAL);
         tokio::pin!(retry);
         loop {
@@ -444,7 +453,8 @@
                 batch.clear();
             }
             _ = ticks.tick() => {
-                // Danger: what came while the process was stopped is taken in before the silence is judged.
+                // Datagrams that arrived while the process was stopped must be read before the hub's silence is
+                // measured.
                 tokio::task::yield_now().await;
                 while let Ok(length) = socket.try_recv(&mut datagram) {
                     link.receive(clock.now(), &datagram[..length]);
@@ -453,7 +463,7 @@
             }
         }
         for datagram in link.datagrams.drain(..) {
-            // What a full socket drops is sent again as any lost datagram.
+            // A datagram that a full socket buffer rejects is treated as lost in the network.
             let _ = socket.try_send(&datagram);
         }
         for event in link.events.drain(..) {
--- a/src/iax2/media.rs
+++ b/src/iax2/media.rs
@@ -1,4 +1,5 @@
-//! MediaFrame frames between IAX2 legs: how they pass the core, and whose clock they carry.
+//! Relays media frames between IAX2 legs: their encoding for the core, and the translation of their timestamps from
+//! one leg's clock to the other's.
 
 use super::frame::{encode_mini, kind, Frame};
 use super::session::Session;
@@ -6,13 +7,13 @@
 use crate::interface::Micros;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// The form under which media frames pass the core.
+/// Format name of the descriptions in which media frames pass through the core.
 pub const DESCRIPTION_FORMAT: &str = "iax2-media";
 
-/// Full frames of media go out only while fewer than so many frames are unacknowledged.
+/// Full media frames are dropped while this many frames are unacknowledged.
 const MAX_UNACKNOWLEDGED_FOR_MEDIA: usize = 16;
 
-/// A frame of voice or DTMF with its whole timestamp.
+/// A voice or DTMF frame with its full 32-bit timestamp.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MediaFrame {
     kind: u8,
@@ -22,7 +23,7 @@
 }
 
 impl MediaFrame {
-    /// As it passes the core.
+    /// Encodes the frame as a description for the core.
     pub fn to_description(&self) -> Description {
         let mut bytes = BytesMut::with_capacity(9 + self.data.len());
         bytes.put_u8(self.kind);
@@ -32,7 +33,8 @@
         Description { format: DESCRIPTION_FORMAT, bytes: bytes.freeze() }
     }
 
-    /// Out of the core; `None`: it comes from another protocol, and media does not cross.
+    /// Decodes a frame from the core. Returns `None` if it is malformed or comes from another protocol, between which
+    /// media is not relayed.
     pub fn from_description(description: &Description) -> Option<MediaFrame> {
         let mut bytes = description.bytes.clone();
         if description.format != DESCRIPTION_FORMAT || bytes.len() < 9 {
@@ -43,18 +45,19 @@
     }
 }
 
-/// One leg's media: what mini frames leave out, and the shift from the other leg's clock.
+/// The media state of one leg: the fields that mini frames omit, and the offset from the other leg's clock.
 #[derive(Debug, Default)]
 pub struct MediaStream {
-    /// Format and timestamp of the last full voice frame heard.
+    /// Format and timestamp of the latest voice frame received. Before the first full frame there is none.
     last_received: Option<(u32, u32)>,
-    /// Format and timestamp of the last full voice frame sent.
+    /// Format and timestamp of the latest full voice frame sent.
     last_sent: Option<(u32, u32)>,
+    /// Added to the other leg's timestamps, modulo 2^32; set by the first frame sent.
     timestamp_offset: Option<u32>,
 }
 
 impl MediaStream {
-    /// A frame that came in on this leg, if it is media.
+    /// Decodes a frame received on this leg, if it is media.
     pub fn receive(&mut self, frame: &Frame) -> Option<MediaFrame> {
         match frame {
             Frame::Full(full) if matches!(full.kind, kind::VOICE | kind::DTMF) => {
@@ -66,9 +69,10 @@
             }
             Frame::Full(_) => None,
             Frame::Mini { timestamp, data, .. } => {
-                // Before a full frame no format is known (RFC 5456, 8.1.2).
+                // Before the first full frame the format is unknown (RFC 5456, section 8.1.2).
                 let (subclass, last) = self.last_received?;
-                // Half a turn either way: mini frames may overtake each other at the wrap.
+                // The 16-bit difference is read as signed, because mini frames may be reordered around the wrap of
+                // the timestamp.
                 let step = timestamp.wrapping_sub(last as u16) as i16;
                 let timestamp = last.wrapping_add_signed(i32::from(step));
                 if step > 0 {
@@ -84,8 +88,8 @@
         }
     }
 
-    /// Sends the other leg's frame on, on this leg's clock: voice as a mini frame unless the format
-    /// is new or the timestamp's high half has changed, and all else as a full frame.
+    /// Encodes the other leg's frame with a timestamp of this leg's clock. Voice is sent as a mini frame unless its
+    /// format or the high half of its timestamp has changed; everything else is sent as a full frame.
     pub fn send(&mut self, media: &MediaFrame, session: &mut Session, now: Micros) -> Option<Vec<u8>> {
         let offset = *self
             .timestamp_offset
@@ -95,7 +99,7 @@
         if media.kind == kind::VOICE && self.last_sent.is_some_and(is_same) {
             return Some(encode_mini(session.local, timestamp as u16, &media.data));
         }
-        // MediaFrame of no use by the time it arrives is not kept for a peer that acknowledges nothing.
+        // Media for a peer that does not acknowledge frames is dropped: by the time it arrived it would be useless.
         if session.unacknowledged_count() >= MAX_UNACKNOWLEDGED_FOR_MEDIA {
             return None;
         }
--- a/src/iax2/mod.rs
+++ b/src/iax2/mod.rs
@@ -1,4 +1,4 @@
-//! IAX2 (RFC 5456) over UDP: a front for desk equipment and a client of IAX2 hubs.
+//! IAX2 (RFC 5456) over UDP: a front that serves desk equipment, and a client of IAX2 hubs.
 
 pub mod cause;
 pub mod frame;
@@ -7,8 +7,9 @@
 pub mod media;
 pub mod session;
 
-/// The form of the descriptions that IAX2 legs exchange: a NEW's media formats and calling number.
+/// Format name of the descriptions that IAX2 legs exchange: the media formats and calling number of a NEW, encoded as
+/// information elements.
 pub const DESCRIPTION_FORMAT: &str = "iax2";
 
-/// The media formats taken where a leg names none: G.711 mu-law and A-law.
+/// Media formats assumed where a leg names none: G.711 mu-law and A-law.
 pub const DEFAULT_MEDIA_FORMATS: u32 = 0x4 | 0x8;
--- a/src/iax2/session.rs
+++ b/src/iax2/session.rs
@@ -1,19 +1,21 @@
-//! The reliable transport of one IAX2 call: sequence numbers, acknowledgements, bounded
-//! retransmission (RFC 5456, section 7). It reads no clock and owns no socket.
+//! The reliable transport of one IAX2 call: sequence numbers, acknowledgements, bounded retransmission (RFC 5456,
+//! section 7). It reads no clock and owns no socket.
 
 use super::frame::{iax, kind, FullFrame};
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
-/// The first retransmission comes after this, the next ones at doubling gaps.
+/// Delay before the first retransmission of a frame; it doubles for each further one.
 pub const INITIAL_RETRANSMIT_INTERVAL: Micros = Micros(500_000);
-/// A frame is sent again so many times; then the peer is lost.
+/// Number of retransmissions of a frame after which the peer is considered lost.
 pub const MAX_RETRANSMISSIONS: u32 = 4;
-/// Frames out at most: half the sequence space, so that old and new can be told apart.
+/// Limit on sent and unacknowledged frames. It is below half the space of 256 sequence numbers, so that old frames
+/// can be told from new ones.
 const MAX_UNACKNOWLEDGED_FRAMES: usize = 100;
-/// A peer that has said nothing for this long is asked whether it is there.
+/// A PING is sent after this much silence of the peer.
 const KEEPALIVE_INTERVAL: Micros = Micros(20_000_000);
 
+/// A sent frame, kept for retransmission until it is acknowledged.
 #[derive(Debug)]
 struct UnacknowledgedFrame {
     oseq: u8,
@@ -25,12 +27,12 @@
     retransmissions: u32,
 }
 
-/// One call's transport.
+/// The transport state of one call.
 #[derive(Debug)]
 pub struct Session {
-    /// Our call number.
+    /// The local call number.
     pub local: u16,
-    /// The peer's; nought while it is not known.
+    /// The peer's call number; 0 while it is unknown.
     pub remote: u16,
     started: Micros,
     last_timestamp: u32,
@@ -40,23 +42,23 @@
     unacknowledged: VecDeque<UnacknowledgedFrame>,
 }
 
-/// What becomes of a frame that was received.
+/// How a received frame is to be handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiveOutcome {
-    /// It is the next one: it is to be acted on.
+    /// The frame is the next in sequence and is delivered to the call.
     Deliver,
-    /// It was acted on already, is out of turn, or served the transport alone.
+    /// The frame is a duplicate, out of order, or concerns the transport only.
     Consumed,
-    /// The peer does not know the call.
+    /// The peer does not know the call (INVAL).
     UnknownCall,
 }
 
-/// The peer acknowledges nothing any more.
+/// The peer no longer acknowledges frames.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerLost;
 
 impl Session {
-    /// A call that begins now.
+    /// Creates the transport of a call that starts now.
     pub fn new(local: u16, remote: u16, now: Micros) -> Session {
         Session {
             local,
@@ -70,34 +72,35 @@
         }
     }
 
-    /// Milliseconds since the call's first frame.
+    /// Returns the milliseconds since the start of the call.
     pub fn elapsed_ms(&self, now: Micros) -> u32 {
         ((now - self.started).0 / 1000) as u32
     }
 
-    /// How many frames are sent and not acknowledged.
+    /// Returns the number of frames sent and not acknowledged.
     pub fn unacknowledged_count(&self) -> usize {
         self.unacknowledged.len()
     }
 
-    /// Whether all that was sent is acknowledged.
+    /// Returns whether every frame sent is acknowledged.
     pub fn is_fully_acknowledged(&self) -> bool {
         self.unacknowledged.is_empty()
     }
 
-    /// Nothing sent so far is sent again: a HANGUP makes it void.
+    /// Stops retransmission of all frames sent so far, because a REJECT or HANGUP makes them obsolete.
     pub fn discard_unacknowledged(&mut self) {
         self.unacknowledged.clear();
     }
 
-    /// Sends a frame that is to be acknowledged.
+    /// Encodes a frame, stamped with the current time, and keeps it for retransmission until it is acknowledged.
+    /// Returns `None` if too many frames are unacknowledged.
     pub fn send(&mut self, now: Micros, kind: u8, subclass: u32, data: &[u8]) -> Option<Vec<u8>> {
         let timestamp = self.elapsed_ms(now).max(self.last_timestamp.saturating_add(1));
         self.last_timestamp = timestamp;
         self.send_at(now, timestamp, kind, subclass, data)
     }
 
-    /// The same with a timestamp of its own; `None`: too many are out.
+    /// Does the same as [`Session::send`] with a given timestamp.
     pub fn send_at(
         &mut self,
         now: Micros,
@@ -139,7 +142,7 @@
         .encode()
     }
 
-    /// A frame that takes no sequence number and is not sent again.
+    /// Encodes an IAX frame that consumes no sequence number and is not retransmitted.
     fn encode_unsequenced(&self, subclass: u32, timestamp: u32) -> Vec<u8> {
         FullFrame {
             source: self.local,
@@ -155,13 +158,14 @@
         .encode()
     }
 
-    /// Takes a full frame in, answers what the transport answers, and says whether to act on it.
+    /// Processes a full frame, appends the transport's replies to `out`, and returns how the frame is to be handled.
     pub fn receive(&mut self, now: Micros, frame: &FullFrame, out: &mut Vec<Vec<u8>>) -> ReceiveOutcome {
         if self.remote == 0 && !frame.is_iax(iax::INVAL) {
             self.remote = frame.source;
         }
         self.last_received = now;
-        // What the peer expects next acknowledges all before it; a number off the window is ignored.
+        // The sequence number that the peer expects next acknowledges all earlier ones. One outside the window is
+        // ignored.
         if let Some(first) = self.unacknowledged.front().map(|s| s.oseq) {
             let count = usize::from(frame.iseq.wrapping_sub(first));
             if count <= self.unacknowledged.len() {
@@ -186,12 +190,12 @@
         }
         match frame.oseq.wrapping_sub(self.iseq) {
             0 => self.iseq = self.iseq.wrapping_add(1),
-            // Sent again, as our acknowledgement was lost.
+            // A duplicate: the acknowledgement was lost, so it is sent again.
             128.. => {
                 out.push(self.encode_unsequenced(iax::ACK, frame.timestamp));
                 return ReceiveOutcome::Consumed;
             }
-            // Those between are missing.
+            // A gap: earlier frames are missing, so their retransmission is requested.
             _ => {
                 out.push(self.encode_unsequenced(iax::VNAK, frame.timestamp));
                 return ReceiveOutcome::Consumed;
@@ -210,7 +214,7 @@
         }
     }
 
-    /// Sends again what is due, and asks a quiet peer whether it is there.
+    /// Retransmits the frames that are due, and sends a PING to a silent peer.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Vec<u8>>) -> Result<(), PeerLost> {
         let mut frames = std::mem::take(&mut self.unacknowledged);
         let mut is_lost = false;
