--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -1,5 +1,6 @@
-//! The started program between SIP and IAX2 callers and hubs of both kinds, under mixed load. The
-//! peers' records show one answer a call, no overlapping attempts, the pause and the drain's deadline.
+//! Tests of the running program between SIP and IAX2 callers and hubs of both protocols. Under mixed load, the peers'
+//! records must show one final answer per call, no overlapping attempts, the pause before a repeated attempt, and no
+//! set-up at a draining hub after its grace period.
 
 #[path = "common/iax2_peers.rs"]
 mod iax2_peers;
@@ -14,10 +15,12 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-const PAUSE: Duration = Duration::from_millis(200);
-/// The record of a give-up is written a little after the program wrote it.
-const RECORD_LAG: Duration = Duration::from_millis(60);
+/// Minimum time between an attempt that was reset or given up and the next attempt of the same call.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Tolerance for a give-up, which a hub records slightly later than the program sends it.
+const RECORD_TOLERANCE: Duration = Duration::from_millis(60);
 
+/// The program with its hubs and its change log.
 struct Site {
     record: Record,
     sip_hub: Hub,
@@ -27,7 +30,7 @@
     iax2: SocketAddr,
 }
 
-/// A table hub at place 0, an IAX2 hub at place 1, and both fronts.
+/// Starts the program with a table hub at place 0, an IAX2 hub at place 1, and both fronts.
 fn start(sip_manner: Manner, iax2_manner: Manner) -> Site {
     let record = Record::default();
     let sip_hub = Hub::start(0, sip_manner, &record);
@@ -44,7 +47,7 @@
     Site { record, sip_hub, iax2_hub, log, program, iax2 }
 }
 
-/// Checks each number's attempts over all hubs; gives how many attempts there were.
+/// Checks the attempts of each call over all hubs, identified by the number called. Returns the number of attempts.
 fn check_attempts(record: &Record) -> usize {
     let mut numbers: BTreeMap<u64, Vec<(Instant, usize, Seen)>> = BTreeMap::new();
     for (at, number, hub, seen) in record.lock().expect("lock").iter() {
@@ -53,22 +56,22 @@
     let mut attempts = 0;
     for (number, mut events) in numbers {
         events.sort_by_key(|e| e.0);
-        let (mut out, mut not_before) = (None, None);
+        let (mut pending_hub, mut not_before) = (None, None);
         for (at, hub, seen) in events {
             match seen {
                 Seen::SetUp => {
                     attempts += 1;
-                    assert_eq!(out, None, "{number:x}: an attempt at {hub} while one is out");
-                    assert!(not_before.is_none_or(|t| at >= t), "{number:x}: sent within the pause");
-                    out = Some(hub);
+                    assert_eq!(pending_hub, None, "{number:x}: an attempt at {hub} while another is pending");
+                    assert!(not_before.is_none_or(|t| at >= t), "{number:x}: an attempt during the pause");
+                    pending_hub = Some(hub);
                 }
-                Seen::Refused => out = None,
+                Seen::Refused => pending_hub = None,
                 Seen::Reset => {
-                    (out, not_before) = (None, Some(at + PAUSE));
+                    (pending_hub, not_before) = (None, Some(at + MIN_RETRY_PAUSE));
                 }
-                // A give-up or a release. A call that stood and is over is not sent again.
-                Seen::Release(_) if out == Some(hub) => {
-                    (out, not_before) = (None, Some(at + PAUSE - RECORD_LAG));
+                // A give-up, or the release of an established call, which is not set up again.
+                Seen::Release(_) if pending_hub == Some(hub) => {
+                    (pending_hub, not_before) = (None, Some(at + MIN_RETRY_PAUSE - RECORD_TOLERANCE));
                 }
                 Seen::Release(_) | Seen::Answered => {}
             }
@@ -78,32 +81,32 @@
 }
 
 #[test]
-fn calls_cross_and_media_flows_between_iax2_legs() {
+fn calls_connect_across_protocols_and_iax2_legs_exchange_media() {
     let site = start(Manner::Answer, Manner::Answer);
     let mut phones = Phones::connect(site.iax2);
     phones.dial(10, 0x510);
-    until("the desk call stands", || {
+    until("the desk call is established", || {
         phones.drive(Duration::from_millis(20));
         (phones.line(10).answers == [None]).then_some(())
     });
     phones.speak(10, b"hello");
-    until("voice comes back", || {
+    until("the voice is echoed", || {
         phones.drive(Duration::from_millis(20));
         phones.line(10).voice.contains(&b"hello".to_vec()).then_some(())
     });
-    // A SIP caller at the IAX2 hub, and desk equipment at the table hub.
+    // A SIP caller reaches the IAX2 hub; later, desk equipment reaches the table hub.
     let mut caller = Caller::connect(site.program.address);
     caller.invite(0x511, 3000, 1);
     let (code, _, body) = caller.answer(0x511).expect("an answer");
-    assert_eq!((code, body.len()), (200, 0), "signalled, without media");
+    assert_eq!((code, body.len()), (200, 0), "the call is signalled without a media description");
     caller.send("BYE", 0x511, "", b"");
-    until("the IAX2 hub hears the release", || {
+    until("the IAX2 hub receives the release", || {
         let record = site.record.lock().expect("lock");
         record.iter().any(|e| (e.1, e.2, e.3) == (0x511, 1, Seen::Release(16))).then_some(())
     });
     site.iax2_hub.set(Manner::Full);
     phones.dial(11, 0x512);
-    until("the table hub takes what the IAX2 hub refuses", || {
+    until("the table hub accepts the call that the IAX2 hub refused", || {
         phones.drive(Duration::from_millis(20));
         (phones.line(11).answers == [None]).then_some(())
     });
@@ -114,32 +117,33 @@
 }
 
 #[test]
-fn a_desk_call_cancelled_while_its_set_up_waits_at_a_slow_hub() {
+fn a_desk_call_cancelled_before_a_slow_hub_answers_is_given_up_there() {
     let site = start(Manner::Silent, Manner::AnswerAfter(Duration::from_millis(900)));
     let mut phones = Phones::connect(site.iax2);
     phones.dial(10, 0x520);
-    until("the set-up waits", || {
+    until("the set-up reaches the hub", || {
         phones.drive(Duration::from_millis(10));
         (!site.record.lock().expect("lock").is_empty()).then_some(())
     });
     phones.hang_up(10);
     phones.drive(Duration::from_millis(1200));
-    assert!(phones.line(10).answers.is_empty(), "no answer to a call that was given up");
+    assert!(phones.line(10).answers.is_empty(), "a cancelled call must not be answered");
     let seen: Vec<_> = site.record.lock().expect("lock").iter().map(|e| e.3).collect();
-    assert_eq!(seen, [Seen::SetUp, Seen::Release(16)], "the hub is told, and never answers");
+    assert_eq!(seen, [Seen::SetUp, Seen::Release(16)], "the hub is released and does not answer");
 }
 
-/// All connections are used in turn: one that says nothing after it is opened is closed.
-fn connection(call: u64) -> usize {
+/// Returns the connection on which a call is placed. Every connection is used, because one that sends nothing after it
+/// was opened is closed.
+fn connection_of(call: u64) -> usize {
     ((call / 16 + call) % 4) as usize
 }
 
 #[test]
-fn mixed_load_keeps_the_rules() {
+fn mixed_load_gets_one_answer_per_call_and_no_overlapping_early_or_late_attempts() {
     let site = start(Manner::AnswerAfter(Duration::from_millis(30)), Manner::Answer);
     let mut callers: Vec<Caller> = (0..4).map(|_| Caller::connect(site.program.address)).collect();
     let mut phones = Phones::connect(site.iax2);
-    let (mut told, mut cancelled) = (None, Vec::new());
+    let (mut drain_polled_at, mut cancelled) = (None, Vec::new());
     let rounds = 150_u64;
     for round in 0..rounds {
         match round {
@@ -154,11 +158,11 @@
             }
             _ => {}
         }
-        // A jump in calls: eight at once instead of one.
-        let jump = if (60..63).contains(&round) { 8 } else { 1 };
-        for extra in 0..jump {
+        // A burst: eight calls at once instead of one.
+        let burst = if (60..63).contains(&round) { 8 } else { 1 };
+        for extra in 0..burst {
             let call = 0x1000 + round * 16 + extra;
-            let caller = &mut callers[connection(call)];
+            let caller = &mut callers[connection_of(call)];
             caller.invite(call, 2500, (call % 2) as i64);
             if round % 10 == 7 {
                 cancelled.push(call);
@@ -167,39 +171,42 @@
         phones.dial(100 + round as u16, 0x9000 + round);
         phones.drive(Duration::from_millis(25));
         if let Some(call) = cancelled.last().filter(|c| (**c - 0x1000) / 16 == round) {
-            callers[connection(*call)].send("CANCEL", *call, "", b"");
+            callers[connection_of(*call)].send("CANCEL", *call, "", b"");
         }
-        if told.is_none() && site.log.polls.lock().expect("lock").contains(&2) {
-            told = Some(Instant::now());
+        if drain_polled_at.is_none() && site.log.polls.lock().expect("lock").contains(&2) {
+            drain_polled_at = Some(Instant::now());
         }
         callers[(round % 4) as usize].take_in();
     }
     phones.drive(Duration::from_millis(3500));
     let mut by_status: BTreeMap<u16, usize> = BTreeMap::new();
     for round in 0..rounds {
-        let jump = if (60..63).contains(&round) { 8 } else { 1 };
-        for extra in 0..jump {
+        let burst = if (60..63).contains(&round) { 8 } else { 1 };
+        for extra in 0..burst {
             let call = 0x1000 + round * 16 + extra;
-            let caller = &mut callers[connection(call)];
-            let (status, ..) = caller.answer(call).expect("each call is answered");
+            let caller = &mut callers[connection_of(call)];
+            let (status, ..) = caller.answer(call).expect("every call is answered");
             caller.take_in();
             let finals = caller.said.iter().filter(|s| matches!(s, Said::Answer(c, ..) if *c == call));
-            assert_eq!(finals.count(), 1, "{call:x}: one final answer");
+            assert_eq!(finals.count(), 1, "{call:x}: exactly one final answer");
             *by_status.entry(status).or_default() += 1;
         }
         assert_eq!(
             phones.line(100 + round as u16).answers.len(),
             1,
-            "line {}: one final answer",
+            "line {}: exactly one final answer",
             100 + round
         );
     }
-    assert!(by_status[&200] > 25 && by_status.len() > 1, "served and refused: {by_status:?}");
+    assert!(
+        by_status[&200] > 25 && by_status.len() > 1,
+        "some calls must succeed and some fail: {by_status:?}"
+    );
     let attempts = check_attempts(&site.record);
     assert!(attempts > 100, "{attempts} attempts");
-    let told = told.expect("the drain was told");
-    let late = site.record.lock().expect("lock").iter().any(|(at, _, hub, seen)| {
-        *hub == 0 && *seen == Seen::SetUp && *at > told + Duration::from_millis(2050)
+    let drain_polled_at = drain_polled_at.expect("the program polled past the drain event");
+    let has_late_set_up = site.record.lock().expect("lock").iter().any(|(at, _, hub, seen)| {
+        *hub == 0 && *seen == Seen::SetUp && *at > drain_polled_at + Duration::from_millis(2050)
     });
-    assert!(!late, "nothing new at a draining hub after its grace");
+    assert!(!has_late_set_up, "no set-up may reach a draining hub after its grace period");
 }
