--- a/src/iax2/session.rs
+++ b/src/iax2/session.rs
@@ -1,103 +1,106 @@
-//! The reliable transport of one IAX2 call: sequence numbers, acknowledgements, bounded
-//! retransmission (RFC 5456, section 7). It reads no clock and owns no socket.
+//! The reliable transport of one IAX2 call: sequence numbers, acknowledgements, bounded retransmission (RFC 5456,
+//! section 7). It reads no clock and owns no socket.
 
-use super::frame::{iax, kind, Full};
+use super::frame::{iax, kind, FullFrame};
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
-/// The first retransmission comes after this, the next ones at doubling gaps.
-pub const RETRANSMIT: Micros = Micros(500_000);
-/// A frame is sent again so many times; then the peer is lost.
-pub const RETRIES: u32 = 4;
-/// Frames out at most: half the sequence space, so that old and new can be told apart.
-const WINDOW: usize = 100;
-/// A peer that has said nothing for this long is asked whether it is there.
-const QUIET: Micros = Micros(20_000_000);
-
+/// Delay before the first retransmission of a frame; it doubles for each further one.
+pub const INITIAL_RETRANSMIT_INTERVAL: Micros = Micros(500_000);
+/// Number of retransmissions of a frame after which the peer is considered lost.
+pub const MAX_RETRANSMISSIONS: u32 = 4;
+/// Limit on sent and unacknowledged frames. It is below half the space of 256 sequence numbers, so that old frames
+/// can be told from new ones.
+const MAX_UNACKNOWLEDGED_FRAMES: usize = 100;
+/// A PING is sent after this much silence of the peer.
+const KEEPALIVE_INTERVAL: Micros = Micros(20_000_000);
+
+/// A sent frame, kept for retransmission until it is acknowledged.
 #[derive(Debug)]
-struct Sent {
+struct UnacknowledgedFrame {
     oseq: u8,
     timestamp: u32,
     kind: u8,
     subclass: u32,
     data: Vec<u8>,
-    next: Micros,
-    tries: u32,
+    resend_at: Micros,
+    retransmissions: u32,
 }
 
-/// One call's transport.
+/// The transport state of one call.
 #[derive(Debug)]
 pub struct Session {
-    /// Our call number.
+    /// The local call number.
     pub local: u16,
-    /// The peer's; nought while it is not known.
+    /// The peer's call number; 0 while it is unknown.
     pub remote: u16,
-    start: Micros,
+    started: Micros,
     last_timestamp: u32,
-    heard: Micros,
+    last_received: Micros,
     oseq: u8,
     iseq: u8,
-    unacknowledged: VecDeque<Sent>,
+    unacknowledged: VecDeque<UnacknowledgedFrame>,
 }
 
-/// What becomes of a frame that was received.
+/// How a received frame is to be handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is the next one: it is to be acted on.
-    Next,
-    /// It was acted on already, is out of turn, or served the transport alone.
-    Done,
-    /// The peer does not know the call.
-    Unknown,
+pub enum ReceiveOutcome {
+    /// The frame is the next in sequence and is delivered to the call.
+    Deliver,
+    /// The frame is a duplicate, out of order, or concerns the transport only.
+    Consumed,
+    /// The peer does not know the call (INVAL).
+    UnknownCall,
 }
 
-/// The peer acknowledges nothing any more.
+/// The peer no longer acknowledges frames.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lost;
+pub struct PeerLost;
 
 impl Session {
-    /// A call that begins now.
+    /// Creates the transport of a call that starts now.
     pub fn new(local: u16, remote: u16, now: Micros) -> Session {
         Session {
             local,
             remote,
-            start: now,
+            started: now,
             last_timestamp: 0,
-            heard: now,
+            last_received: now,
             oseq: 0,
             iseq: 0,
             unacknowledged: VecDeque::new(),
         }
     }
 
-    /// Milliseconds since the call's first frame.
-    pub fn elapsed(&self, now: Micros) -> u32 {
-        ((now - self.start).0 / 1000) as u32
+    /// Returns the milliseconds since the start of the call.
+    pub fn elapsed_ms(&self, now: Micros) -> u32 {
+        ((now - self.started).0 / 1000) as u32
     }
 
-    /// How many frames are sent and not acknowledged.
-    pub fn out(&self) -> usize {
+    /// Returns the number of frames sent and not acknowledged.
+    pub fn unacknowledged_count(&self) -> usize {
         self.unacknowledged.len()
     }
 
-    /// Whether all that was sent is acknowledged.
-    pub fn settled(&self) -> bool {
+    /// Returns whether every frame sent is acknowledged.
+    pub fn is_fully_acknowledged(&self) -> bool {
         self.unacknowledged.is_empty()
     }
 
-    /// Nothing sent so far is sent again: a HANGUP makes it void.
-    pub fn forget_sent(&mut self) {
+    /// Stops retransmission of all frames sent so far, because a REJECT or HANGUP makes them obsolete.
+    pub fn discard_unacknowledged(&mut self) {
         self.unacknowledged.clear();
     }
 
-    /// Sends a frame that is to be acknowledged.
+    /// Encodes a frame, stamped with the current time, and keeps it for retransmission until it is acknowledged.
+    /// Returns `None` if too many frames are unacknowledged.
     pub fn send(&mut self, now: Micros, kind: u8, subclass: u32, data: &[u8]) -> Option<Vec<u8>> {
-        let timestamp = self.elapsed(now).max(self.last_timestamp.saturating_add(1));
+        let timestamp = self.elapsed_ms(now).max(self.last_timestamp.saturating_add(1));
         self.last_timestamp = timestamp;
         self.send_at(now, timestamp, kind, subclass, data)
     }
 
-    /// The same with a timestamp of its own; `None`: too many are out.
+    /// Does the same as [`Session::send`] with a given timestamp.
     pub fn send_at(
         &mut self,
         now: Micros,
@@ -106,29 +109,29 @@
         subclass: u32,
         data: &[u8],
     ) -> Option<Vec<u8>> {
-        if self.unacknowledged.len() >= WINDOW {
+        if self.unacknowledged.len() >= MAX_UNACKNOWLEDGED_FRAMES {
             return None;
         }
-        let sent = Sent {
+        let sent = UnacknowledgedFrame {
             oseq: self.oseq,
             timestamp,
             kind,
             subclass,
             data: data.to_vec(),
-            next: now + RETRANSMIT,
-            tries: 0,
+            resend_at: now + INITIAL_RETRANSMIT_INTERVAL,
+            retransmissions: 0,
         };
         self.oseq = self.oseq.wrapping_add(1);
-        let bytes = self.write(&sent);
+        let bytes = self.encode(&sent);
         self.unacknowledged.push_back(sent);
         Some(bytes)
     }
 
-    fn write(&self, sent: &Sent) -> Vec<u8> {
-        Full {
+    fn encode(&self, sent: &UnacknowledgedFrame) -> Vec<u8> {
+        FullFrame {
             source: self.local,
             destination: self.remote,
-            again: sent.tries > 0,
+            is_retransmission: sent.retransmissions > 0,
             timestamp: sent.timestamp,
             oseq: sent.oseq,
             iseq: self.iseq,
@@ -136,15 +139,15 @@
             subclass: sent.subclass,
             data: &sent.data,
         }
-        .write()
+        .encode()
     }
 
-    /// A frame that takes no sequence number and is not sent again.
-    fn plain(&self, subclass: u32, timestamp: u32) -> Vec<u8> {
-        Full {
+    /// Encodes an IAX frame that consumes no sequence number and is not retransmitted.
+    fn encode_unsequenced(&self, subclass: u32, timestamp: u32) -> Vec<u8> {
+        FullFrame {
             source: self.local,
             destination: self.remote,
-            again: false,
+            is_retransmission: false,
             timestamp,
             oseq: self.oseq,
             iseq: self.iseq,
@@ -152,83 +155,84 @@
             subclass,
             data: &[],
         }
-        .write()
+        .encode()
     }
 
-    /// Takes a full frame in, answers what the transport answers, and says whether to act on it.
-    pub fn receive(&mut self, now: Micros, frame: &Full, out: &mut Vec<Vec<u8>>) -> Verdict {
-        if self.remote == 0 && !frame.is(iax::INVAL) {
+    /// Processes a full frame, appends the transport's replies to `out`, and returns how the frame is to be handled.
+    pub fn receive(&mut self, now: Micros, frame: &FullFrame, out: &mut Vec<Vec<u8>>) -> ReceiveOutcome {
+        if self.remote == 0 && !frame.is_iax(iax::INVAL) {
             self.remote = frame.source;
         }
-        self.heard = now;
-        // What the peer expects next acknowledges all before it; a number off the window is ignored.
+        self.last_received = now;
+        // The sequence number that the peer expects next acknowledges all earlier ones. One outside the window is
+        // ignored.
         if let Some(first) = self.unacknowledged.front().map(|s| s.oseq) {
             let count = usize::from(frame.iseq.wrapping_sub(first));
             if count <= self.unacknowledged.len() {
                 self.unacknowledged.drain(..count);
             }
         }
-        if frame.is(iax::INVAL) {
-            return Verdict::Unknown;
+        if frame.is_iax(iax::INVAL) {
+            return ReceiveOutcome::UnknownCall;
         }
-        if frame.is(iax::VNAK) {
-            let mut again = std::mem::take(&mut self.unacknowledged);
-            for sent in &mut again {
-                sent.tries += 1;
-                sent.next = now + RETRANSMIT;
-                out.push(self.write(sent));
+        if frame.is_iax(iax::VNAK) {
+            let mut frames = std::mem::take(&mut self.unacknowledged);
+            for sent in &mut frames {
+                sent.retransmissions += 1;
+                sent.resend_at = now + INITIAL_RETRANSMIT_INTERVAL;
+                out.push(self.encode(sent));
             }
-            self.unacknowledged = again;
-            return Verdict::Done;
+            self.unacknowledged = frames;
+            return ReceiveOutcome::Consumed;
         }
-        if !frame.counts() {
-            return Verdict::Done;
+        if !frame.is_sequenced() {
+            return ReceiveOutcome::Consumed;
         }
         match frame.oseq.wrapping_sub(self.iseq) {
             0 => self.iseq = self.iseq.wrapping_add(1),
-            // Sent again, as our acknowledgement was lost.
+            // A duplicate: the acknowledgement was lost, so it is sent again.
             128.. => {
-                out.push(self.plain(iax::ACK, frame.timestamp));
-                return Verdict::Done;
+                out.push(self.encode_unsequenced(iax::ACK, frame.timestamp));
+                return ReceiveOutcome::Consumed;
             }
-            // Those between are missing.
+            // A gap: earlier frames are missing, so their retransmission is requested.
             _ => {
-                out.push(self.plain(iax::VNAK, frame.timestamp));
-                return Verdict::Done;
+                out.push(self.encode_unsequenced(iax::VNAK, frame.timestamp));
+                return ReceiveOutcome::Consumed;
             }
         }
         match frame.subclass {
             iax::PING | iax::LAGRQ if frame.kind == kind::IAX => {
                 let reply = if frame.subclass == iax::PING { iax::PONG } else { iax::LAGRP };
                 out.extend(self.send_at(now, frame.timestamp, kind::IAX, reply, &[]));
-                Verdict::Done
+                ReceiveOutcome::Consumed
             }
             _ => {
-                out.push(self.plain(iax::ACK, frame.timestamp));
-                Verdict::Next
+                out.push(self.encode_unsequenced(iax::ACK, frame.timestamp));
+                ReceiveOutcome::Deliver
             }
         }
     }
 
-    /// Sends again what is due, and asks a quiet peer whether it is there.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Vec<u8>>) -> Result<(), Lost> {
-        let mut due = std::mem::take(&mut self.unacknowledged);
-        let mut lost = false;
-        for sent in due.iter_mut().filter(|s| s.next <= now) {
-            if sent.tries >= RETRIES {
-                lost = true;
+    /// Retransmits the frames that are due, and sends a PING to a silent peer.
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<Vec<u8>>) -> Result<(), PeerLost> {
+        let mut frames = std::mem::take(&mut self.unacknowledged);
+        let mut is_lost = false;
+        for sent in frames.iter_mut().filter(|s| s.resend_at <= now) {
+            if sent.retransmissions >= MAX_RETRANSMISSIONS {
+                is_lost = true;
                 break;
             }
-            sent.tries += 1;
-            sent.next = now + Micros(RETRANSMIT.0 << sent.tries);
-            out.push(self.write(sent));
+            sent.retransmissions += 1;
+            sent.resend_at = now + Micros(INITIAL_RETRANSMIT_INTERVAL.0 << sent.retransmissions);
+            out.push(self.encode(sent));
         }
-        self.unacknowledged = due;
-        if lost {
-            return Err(Lost);
+        self.unacknowledged = frames;
+        if is_lost {
+            return Err(PeerLost);
         }
-        if self.settled() && self.heard + QUIET <= now {
-            self.heard = now;
+        if self.is_fully_acknowledged() && self.last_received + KEEPALIVE_INTERVAL <= now {
+            self.last_received = now;
             out.extend(self.send(now, kind::IAX, iax::PING, &[]));
         }
         Ok(())
