--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -4,7 +4,7 @@
 //!
 //! The sizes alternate within one run. Compare the ratios to the smallest size rather than the times.
 
-use petreldock::config::{self, At, Config};
+use petreldock::config::{self, Config, JsonNode};
 use petreldock::core::{Core, Hub, HubListUpdate, Input, Status};
 use petreldock::interface::*;
 use petreldock::Controller;
@@ -19,7 +19,7 @@
 fn config() -> Config {
     let text = std::fs::read_to_string("examples/config.json").expect("run from the root");
     let value = config::parse(&text, "example").expect("JSON");
-    Config::read(&At::root(&value, ""), None).expect("valid configuration")
+    Config::read(&JsonNode::root(&value, ""), None).expect("valid configuration")
 }
 
 /// Returns the mean time, in nanoseconds, to decide on a call and to process its answer and its end.
--- a/benches/state.rs
+++ b/benches/state.rs
@@ -5,7 +5,7 @@
 //! Runs with and without saving alternate within one run. Compare the ratios rather than the times.
 
 use hdrhistogram::Histogram;
-use petreldock::config::{self, At, Config};
+use petreldock::config::{self, Config, JsonNode};
 use petreldock::core::{
     CallName, Cause, Core, Description, FromHub, FrontId, Hub, Input, LinkId, Offer, RefusalNote,
 };
@@ -31,7 +31,7 @@
 fn config() -> Config {
     let text = std::fs::read_to_string("examples/config.json").expect("run from the root");
     let value = config::parse(&text, "example").expect("JSON");
-    Config::read(&At::root(&value, ""), None).expect("valid configuration")
+    Config::read(&JsonNode::root(&value, ""), None).expect("valid configuration")
 }
 
 /// Runs a core for a number of ticks. Returns how long each input or tick blocked it, in nanoseconds, and the
--- a/src/bin/petreldock-adapter.rs
+++ b/src/bin/petreldock-adapter.rs
@@ -2,7 +2,7 @@
 
 #![forbid(unsafe_code)]
 
-use petreldock::wire::Host;
+use petreldock::simulator_protocol::Host;
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
@@ -16,7 +16,7 @@
         bytes.clear();
         number += 1;
         match input.read_until(b'\n', &mut bytes) {
-            Ok(0) if host.idle() => return ExitCode::SUCCESS,
+            Ok(0) if host.is_between_batches() => return ExitCode::SUCCESS,
             Ok(0) => {
                 eprintln!("line {number}: expected 'flush' to close the batch, found the end of input");
                 return ExitCode::FAILURE;
@@ -31,7 +31,7 @@
             eprintln!("line {number}: expected UTF-8 text");
             return ExitCode::FAILURE;
         };
-        match host.line(text.trim_end_matches(['\n', '\r'])) {
+        match host.handle_line(text.trim_end_matches(['\n', '\r'])) {
             Ok(None) => {}
             Ok(Some(reply)) => {
                 if let Err(error) = output.write_all(reply.as_bytes()).and_then(|()| output.flush()) {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,6 +1,8 @@
 //! The command line. Without a command the program serves.
 
-use crate::config::{Config, Operator, CONFIG_VARIABLE, LISTEN_VARIABLE, NAME_VARIABLE, OPERATOR_VARIABLE};
+use crate::config::{
+    Config, OperatorConfig, CONFIG_VARIABLE, LISTEN_VARIABLE, NAME_VARIABLE, OPERATOR_VARIABLE,
+};
 use crate::fleet::show::{self, Shown as ShownFleet};
 use crate::fleet::wire::{self, Identity, Kind, DATAGRAM_MOST};
 use crate::interface::Micros;
@@ -100,7 +102,7 @@
     let mut line = |what: &str, value: String| {
         let _ = writeln!(text, "{what:<30}{value}");
     };
-    let Operator { iax2_listen, iax2_hubs, state, fleet, log, .. } = &config.operator;
+    let OperatorConfig { iax2_listen, iax2_hubs, state, fleet, log, .. } = &config.operator;
     let hubs: usize = config.known.events.iter().map(|e| e.targets.len()).sum();
     let address = |a: Option<std::net::SocketAddr>| a.map_or("off".into(), |a| a.to_string());
     line("name", config.name.clone());
@@ -115,7 +117,7 @@
         None => line("state", "off".into()),
         Some(state) => {
             let seconds = |m: Micros| format!("{} s", m.secs());
-            let lives = &state.ageing;
+            let lives = &state.decay;
             line("state.folder", state.folder.display().to_string());
             line("state.intervalMs", (state.interval.0 / 1000).to_string());
             line("state.greatestAgeMs", (lives.max_age.0 / 1000).to_string());
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,5 +1,5 @@
-//! The one place where configuration is read, checked and given defaults: the simulator's `init`,
-//! the platform's environment and JSON, and the operator's file. Errors name the faulty key by its path.
+//! Reads and validates all configuration and applies defaults: the simulator's `init`, the platform's environment
+//! and JSON file, and the operator's file. Errors name the faulty key by its path.
 
 use crate::fleet::wire::{LABEL_MOST, NAME_MOST};
 use crate::interface::*;
@@ -12,31 +12,32 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Names the file with the platform's configuration.
+/// Environment variable with the path of the platform's configuration file.
 pub const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
-/// Overrides `listen` of that file.
+/// Environment variable that overrides `listen` of the platform's configuration file.
 pub const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
-/// Overrides `name` of that file.
+/// Environment variable that overrides `name` of the platform's configuration file.
 pub const NAME_VARIABLE: &str = "ROUTER_NAME";
-/// Names the operator's file, which sets up IAX2, state that is kept, the fleet, and logs; unset: all but logs is off.
+/// Environment variable with the path of the operator's file, which configures IAX2, saved state, the fleet and logs.
+/// Without it everything but logs is off.
 pub const OPERATOR_VARIABLE: &str = "PETRELDOCK_OPERATOR";
 
-/// What was learnt is written this often, unless the operator's file says.
-const STATE_EVERY: Micros = Micros(2_000_000);
-/// No half-life and no age is longer: thirty days.
-const AGE_MOST_MS: u64 = 30 * 86_400_000;
-/// Within about this a crash is known in the fleet, unless the operator's file says.
-const DETECTION: Micros = Micros(2_500_000);
-/// Seeds and prefixes that a file may name.
-const NAMED_MOST: usize = 64;
+/// Default interval between writes of the learned state.
+const DEFAULT_STATE_INTERVAL: Micros = Micros(2_000_000);
+/// Maximum half-life and maximum age of saved state: thirty days.
+const MAX_AGE_MS: u64 = 30 * 86_400_000;
+/// Default approximate time until the fleet detects a crashed member.
+const DEFAULT_DETECTION_TIME: Micros = Micros(2_500_000);
+/// Maximum number of seeds, and of prefixes, in the operator's file.
+const MAX_LIST_ENTRIES: usize = 64;
 const MEBIBYTE: usize = 1024 * 1024;
 
-/// What is wrong with a configuration, and at which key.
+/// An invalid or missing configuration value, with the path of its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The key's path, as in `settings.limits.maxAttempts`.
+    /// The key's path, for example `settings.limits.maxAttempts`. Empty if the error has no key.
     pub path: String,
-    /// What was expected there.
+    /// What was expected, or why the value could not be read.
     pub problem: String,
 }
 
@@ -51,66 +52,76 @@
 
 impl std::error::Error for ConfigError {}
 
-type Read<T> = Result<T, ConfigError>;
+type ConfigResult<T> = Result<T, ConfigError>;
 
-/// A place in a JSON document: its path, and its value if there is one.
+/// A node of a JSON document: its path, and its value if it is present.
 #[derive(Clone, Debug)]
-pub struct At<'a> {
+pub struct JsonNode<'a> {
     value: Option<&'a Value>,
     path: String,
 }
 
-impl<'a> At<'a> {
-    /// The document's root, under the name that errors shall show.
-    pub fn root(value: &'a Value, path: &str) -> At<'a> {
-        At { value: Some(value), path: path.into() }
+impl<'a> JsonNode<'a> {
+    /// Returns the root of a document. `path` is the prefix that errors show.
+    pub fn root(value: &'a Value, path: &str) -> JsonNode<'a> {
+        JsonNode { value: Some(value), path: path.into() }
     }
 
-    /// The member `key`, there or not.
-    pub fn key(&self, key: &str) -> At<'a> {
+    /// Returns the member `key`, which may be absent. A null member counts as absent.
+    pub fn key(&self, key: &str) -> JsonNode<'a> {
         let value = match self.value {
             Some(Value::Object(object)) => object.get(key),
             _ => None,
         };
         let path = if self.path.is_empty() { key.into() } else { format!("{}.{key}", self.path) };
-        At { value: value.filter(|v| !matches!(v, Value::Null)), path }
+        JsonNode { value: value.filter(|v| !matches!(v, Value::Null)), path }
     }
 
-    /// The error that something else was expected here.
+    /// Returns the error that `what` was expected at this node.
     pub fn expected(&self, what: &str) -> ConfigError {
         ConfigError { path: self.path.clone(), problem: format!("expected {what}") }
     }
 
-    /// Whether anything stands here.
-    pub fn is_there(&self) -> bool {
+    /// Whether the node has a value.
+    pub fn is_present(&self) -> bool {
         self.value.is_some()
     }
 
-    fn or<T>(&self, other: T, read: impl FnOnce(&Self) -> Read<T>) -> Read<T> {
-        if self.is_there() {
+    /// Reads the node, or returns `default` if it is absent.
+    fn value_or<T>(&self, default: T, read: impl FnOnce(&Self) -> ConfigResult<T>) -> ConfigResult<T> {
+        if self.is_present() {
             read(self)
         } else {
-            Ok(other)
+            Ok(default)
         }
     }
 
-    /// The list that must stand here.
-    pub fn list(&self) -> Read<Vec<At<'a>>> {
+    /// Returns the elements of an array.
+    ///
+    /// # Errors
+    /// The node is not an array.
+    pub fn list(&self) -> ConfigResult<Vec<JsonNode<'a>>> {
         let Some(Value::Array(items)) = self.value else { return Err(self.expected("a list")) };
-        let place = |(i, value)| At { value: Some(value), path: format!("{}[{i}]", self.path) };
-        Ok(items.iter().enumerate().map(place).collect())
+        let node = |(i, value)| JsonNode { value: Some(value), path: format!("{}[{i}]", self.path) };
+        Ok(items.iter().enumerate().map(node).collect())
     }
 
-    /// The text that must stand here.
-    pub fn text(&self) -> Read<&'a str> {
+    /// Returns a string.
+    ///
+    /// # Errors
+    /// The node is not a string.
+    pub fn text(&self) -> ConfigResult<&'a str> {
         match self.value {
             Some(Value::String(text)) => Ok(text),
-            _ => Err(self.expected("a text")),
+            _ => Err(self.expected("a string")),
         }
     }
 
-    /// The number that must stand here.
-    pub fn number(&self) -> Read<f64> {
+    /// Returns a finite number.
+    ///
+    /// # Errors
+    /// The node is not a finite number.
+    pub fn number(&self) -> ConfigResult<f64> {
         match self.value {
             Some(Value::Number(Number::U64(n))) => Ok(*n as f64),
             Some(Value::Number(Number::I64(n))) => Ok(*n as f64),
@@ -119,8 +130,11 @@
         }
     }
 
-    /// The whole number that must stand here.
-    pub fn whole(&self) -> Read<i64> {
+    /// Returns an integer.
+    ///
+    /// # Errors
+    /// The node is not an integer in the range of `i64`.
+    pub fn integer(&self) -> ConfigResult<i64> {
         match self.value {
             Some(Value::Number(Number::U64(n))) => i64::try_from(*n).ok(),
             Some(Value::Number(Number::I64(n))) => Some(*n),
@@ -129,27 +143,39 @@
         .ok_or_else(|| self.expected("a whole number"))
     }
 
-    /// The count, nought or more, that must stand here.
-    pub fn count(&self) -> Read<u32> {
-        self.whole().ok().and_then(|n| u32::try_from(n).ok()).ok_or_else(|| self.expected("a count"))
+    /// Returns a non-negative integer.
+    ///
+    /// # Errors
+    /// The node is not an integer in the range of `u32`.
+    pub fn count(&self) -> ConfigResult<u32> {
+        self.integer().ok().and_then(|n| u32::try_from(n).ok()).ok_or_else(|| self.expected("a count"))
     }
 
-    /// The time in microseconds that must stand here.
-    pub fn micros(&self) -> Read<Micros> {
+    /// Returns a duration or a time in microseconds; a fraction is cut off.
+    ///
+    /// # Errors
+    /// The node is not a number of zero or more.
+    pub fn micros(&self) -> ConfigResult<Micros> {
         let number = self.number().ok().filter(|n| *n >= 0.0);
-        number.map(|n| Micros(n as u64)).ok_or_else(|| self.expected("a time of nought or more"))
+        number.map(|n| Micros(n as u64)).ok_or_else(|| self.expected("a time of zero or more"))
     }
 
-    /// The truth value that must stand here.
-    pub fn flag(&self) -> Read<bool> {
+    /// Returns a boolean.
+    ///
+    /// # Errors
+    /// The node is not a boolean.
+    pub fn boolean(&self) -> ConfigResult<bool> {
         match self.value {
             Some(Value::Bool(flag)) => Ok(*flag),
             _ => Err(self.expected("true or false")),
         }
     }
 
-    /// The address that must stand here.
-    pub fn address(&self) -> Read<SocketAddr> {
+    /// Returns an IP address with its port.
+    ///
+    /// # Errors
+    /// The node is not a string with a socket address.
+    pub fn address(&self) -> ConfigResult<SocketAddr> {
         self.text()
             .ok()
             .and_then(|t| t.parse().ok())
@@ -157,19 +183,20 @@
     }
 }
 
-/// How the wires name classes and the fields of a report.
+/// The names that the protocols use for classes and report fields.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
-    /// Each class's index in [`Settings::classes`].
+pub struct WireNames {
+    /// The index in [`Settings::classes`] of each class name.
     pub classes: BTreeMap<String, usize>,
-    /// The fields of a report, in order.
+    /// The names of the report fields, in the order of their values.
     pub report: Vec<String>,
 }
 
-impl Names {
-    /// Stores a report's figure under its name; unknown names and unlikely figures are left out.
-    pub fn store(report: &mut Report, name: &str, figure: f64) {
-        let value = Some(figure).filter(|n| n.is_finite() && *n >= 0.0);
+impl WireNames {
+    /// Sets the field of `report` that `name` stands for. Unknown names are ignored; a negative or non-finite value
+    /// clears the field.
+    pub fn store(report: &mut Report, name: &str, value: f64) {
+        let value = Some(value).filter(|n| n.is_finite() && *n >= 0.0);
         match name {
             "free" | "x0" => report.free = value,
             "size" | "x1" => report.size = value,
@@ -183,171 +210,171 @@
     }
 }
 
-/// Reads the settings object, which the simulator and the platform give in the same form.
-pub fn settings(root: &At) -> Read<(Settings, Names)> {
+/// Reads the settings object, which has the same form in the simulator's `init` and in the platform's file.
+pub fn read_settings(root: &JsonNode) -> ConfigResult<(Settings, WireNames)> {
     let (info, contract, limits) = (root.key("familyInfo"), root.key("contract"), root.key("limits"));
-    let mut names = Names::default();
+    let mut names = WireNames::default();
     let mut classes = Vec::new();
-    let allowed = info.key("allowedPools").or(Vec::new(), At::list)?;
-    let holds = info.key("classHold").or(Vec::new(), At::list)?;
+    let allowed_places = info.key("allowedPools").value_or(Vec::new(), JsonNode::list)?;
+    let hold_times = info.key("classHold").value_or(Vec::new(), JsonNode::list)?;
     for (i, class) in root.key("classes").list()?.iter().enumerate() {
         names.classes.insert(class.key("name").text()?.into(), i);
-        let places = allowed.get(i).map_or(Ok(Vec::new()), At::list)?;
+        let places = allowed_places.get(i).map_or(Ok(Vec::new()), JsonNode::list)?;
         classes.push(Class {
             objective: class.key("objective").micros()?,
             deadline: class.key("deadline").micros()?,
-            worth: class.key("worth").or(1.0, At::number)?,
-            late_worth: class.key("lateWorth").or(0.0, At::number)?,
-            idempotency: match class.key("idempotency").or("free", At::text)? {
+            worth: class.key("worth").value_or(1.0, JsonNode::number)?,
+            late_worth: class.key("lateWorth").value_or(0.0, JsonNode::number)?,
+            idempotency: match class.key("idempotency").value_or("free", JsonNode::text)? {
                 "free" => Idempotency::Free,
                 "guarded" => Idempotency::Guarded,
-                // Danger: an effect that this version does not know may not bear a repeat.
+                // A value that this version does not know may mean that a set-up must not be repeated.
                 _ => Idempotency::SingleShot,
             },
-            places: places.iter().map(At::whole).collect::<Read<_>>()?,
-            hold_time: holds.get(i).map_or(Ok(Micros(0)), At::micros)?,
+            places: places.iter().map(JsonNode::integer).collect::<ConfigResult<_>>()?,
+            hold_time: hold_times.get(i).map_or(Ok(Micros(0)), JsonNode::micros)?,
         });
     }
-    for name in root.key("report").key("names").or(Vec::new(), At::list)? {
+    for name in root.key("report").key("names").value_or(Vec::new(), JsonNode::list)? {
         names.report.push(name.text()?.into());
     }
-    let set = Settings {
-        balancers: root.key("balancers").or(1, At::count)?,
+    let settings = Settings {
+        balancers: root.key("balancers").value_or(1, JsonNode::count)?,
         classes,
-        cold_from: contract.key("coldFrom").or(1.0, At::number)?,
-        warm_up: contract.key("warmUp").or(Micros(0), At::micros)?,
-        overload_factor: contract.key("overloadFactor").or(1.0, At::number)?,
-        overload_for: contract.key("overloadFor").or(Micros(0), At::micros)?,
-        drain_grace: contract.key("drainGrace").or(Micros(2_000_000), At::micros)?,
-        release: info.key("release").or(Micros(0), At::micros)?,
-        resend: info.key("resend").or(Micros(0), At::micros)?,
-        max_attempts: limits.key("maxAttempts").or(1, At::count)?,
-        may_cancel: limits.key("cancel").or(false, At::flag)?,
-        may_message_peers: limits.key("mayTell").or(false, At::flag)?,
-        max_retry_after: match limits.key("retryAfter").or(false, At::flag)? {
-            true => limits.key("maxRetryAfter").or(Micros(0), At::micros)?,
+        cold_from: contract.key("coldFrom").value_or(1.0, JsonNode::number)?,
+        warm_up: contract.key("warmUp").value_or(Micros(0), JsonNode::micros)?,
+        overload_factor: contract.key("overloadFactor").value_or(1.0, JsonNode::number)?,
+        overload_for: contract.key("overloadFor").value_or(Micros(0), JsonNode::micros)?,
+        drain_grace: contract.key("drainGrace").value_or(Micros(2_000_000), JsonNode::micros)?,
+        release: info.key("release").value_or(Micros(0), JsonNode::micros)?,
+        resend: info.key("resend").value_or(Micros(0), JsonNode::micros)?,
+        max_attempts: limits.key("maxAttempts").value_or(1, JsonNode::count)?,
+        may_cancel: limits.key("cancel").value_or(false, JsonNode::boolean)?,
+        may_message_peers: limits.key("mayTell").value_or(false, JsonNode::boolean)?,
+        max_retry_after: match limits.key("retryAfter").value_or(false, JsonNode::boolean)? {
+            true => limits.key("maxRetryAfter").value_or(Micros(0), JsonNode::micros)?,
             false => Micros(0),
         },
-        index: root.key("selfIndex").or(0, At::count)?,
-        must_subscribe: root.key("registryMode").or("automatic", At::text)? == "subscribe",
-        own_place: match info.key("networkForm").or("pools", At::text)? {
-            "mesh" => Some(info.key("here").whole()?),
+        index: root.key("selfIndex").value_or(0, JsonNode::count)?,
+        must_subscribe: root.key("registryMode").value_or("automatic", JsonNode::text)? == "subscribe",
+        own_place: match info.key("networkForm").value_or("pools", JsonNode::text)? {
+            "mesh" => Some(info.key("here").integer()?),
             _ => None,
         },
     };
-    Ok((set, names))
+    Ok((settings, names))
 }
 
-/// Limits of the sockets' side, from the same settings.
+/// Limits of connections, calls and memory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// A connection still not up by then is unreachable.
+    /// Time limit for opening a connection; after it the peer counts as unreachable.
     pub dial_timeout: Duration,
-    /// Nothing new goes to a hub this long after it was told to drain or to be gone.
+    /// Time after a drain or a removal of a hub from which no new set-up is sent to it.
     pub drain_grace: Micros,
-    /// No attempt of a call before this long after one that timed out, broke or was withdrawn.
+    /// Minimum delay before a call's next attempt after one that timed out, broke or was withdrawn.
     pub release: Micros,
-    /// Calls that may be open at once.
+    /// Maximum number of calls open at once.
     pub max_open: usize,
-    /// Bytes of descriptions that open set-ups may hold together.
-    pub description_bytes: usize,
-    /// File descriptors this process may hold.
+    /// Maximum total size of the descriptions of open set-ups, in bytes.
+    pub max_description_bytes: usize,
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Hubs may be sent test messages.
+    /// Whether hubs may be probed with test messages.
     pub may_probe: bool,
 }
 
-/// An IAX2 hub of the operator's file: always in service until the file changes.
+/// An IAX2 hub of the operator's file. It counts as in service as long as the program runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Iax2Hub {
-    /// Its name, apart from all others.
+    /// Its unique name.
     pub uid: String,
-    /// Where it takes IAX2 frames.
+    /// The address that receives its IAX2 frames.
     pub address: SocketAddr,
-    /// The place that calls name as first choice.
+    /// The place that calls name as their first choice.
     pub place: i64,
 }
 
-/// What the operator's file sets up.
+/// The operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Operator {
-    /// Where desk equipment reaches the IAX2 front; `None`: the front is off.
+pub struct OperatorConfig {
+    /// Address on which desk equipment reaches the IAX2 front; `None` turns the front off.
     pub iax2_listen: Option<SocketAddr>,
-    /// From where calls to IAX2 hubs are placed.
+    /// Source address of calls to IAX2 hubs.
     pub iax2_local: Option<SocketAddr>,
-    /// The IAX2 hubs.
+    /// The configured IAX2 hubs.
     pub iax2_hubs: Vec<Iax2Hub>,
-    /// Class and time to answer of calls that IAX2 callers place.
+    /// Defaults for calls of IAX2 callers.
     pub iax2_calls: Iax2Calls,
-    /// What is kept over a restart; `None`: nothing.
-    pub state: Option<State>,
-    /// What this process tells others of its fleet; `None`: it talks to nobody.
-    pub fleet: Option<Fleet>,
-    /// How logs are written.
-    pub log: Log,
+    /// State saved across restarts; `None` saves nothing.
+    pub state: Option<StateConfig>,
+    /// Membership of a fleet; `None` turns the fleet protocol off.
+    pub fleet: Option<FleetConfig>,
+    /// Level and format of logs.
+    pub log: LogConfig,
 }
 
-/// The fleet that this process belongs to.
+/// The fleet that this process belongs to, and how to reach it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fleet {
-    /// Its name; processes of other fleets are not heard.
+pub struct FleetConfig {
+    /// The fleet's name; datagrams of other fleets are dropped.
     pub name: String,
-    /// Where datagrams are taken; port 0 takes a free one.
+    /// Address that receives datagrams; port 0 chooses a free port.
     pub listen: SocketAddr,
-    /// Where others reach it, if not at `listen`.
+    /// Address under which other members reach this process, if not `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Addresses that are asked for the fleet at the start.
+    /// Addresses contacted at the start to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// The zone of this process; empty: none.
+    /// The zone of this process; empty for none.
     pub zone: String,
-    /// Only addresses under these are heard and believed in.
+    /// Networks of the members' addresses; datagrams from, and members at, other addresses are ignored.
     pub prefixes: Vec<IpNet>,
-    /// Within about this a crash is known to the others.
+    /// Approximate time until the other members detect a crash.
     pub detection: Micros,
 }
 
-/// State that outlives the process.
+/// Learned state saved across restarts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct State {
-    /// The folder, of this process alone.
+pub struct StateConfig {
+    /// The folder, which only one process may use at a time.
     pub folder: PathBuf,
-    /// How often what was learnt is written.
+    /// Interval between writes of the learned state.
     pub interval: Micros,
-    /// How fast it loses its worth.
-    pub ageing: DecaySettings,
+    /// Half-lives and maximum age of saved values.
+    pub decay: DecaySettings,
 }
 
-/// How much is logged.
+/// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Level {
-    /// What cost something.
+pub enum LogLevel {
+    /// Failures that lose calls or data.
     Error,
-    /// What may.
+    /// Conditions that may lead to such a failure.
     Warn,
-    /// Starts, ends, changes.
+    /// Starts, ends and changes.
     #[default]
     Info,
-    /// Single steps.
+    /// Individual steps.
     Debug,
 }
 
-/// How logs are written.
+/// Level and format of logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Log {
-    /// How much.
-    pub level: Level,
-    /// One JSON object a line, in place of text.
+pub struct LogConfig {
+    /// The least severe level that is written.
+    pub level: LogLevel,
+    /// Writes one JSON object per line instead of text.
     pub json: bool,
 }
 
-/// What a call of an IAX2 caller is taken for, where its frames do not say.
+/// Defaults for values that the frames of an IAX2 caller do not carry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Iax2Calls {
-    /// The class's name; empty: the first class of the settings.
+    /// The name of the class; empty for the first class of the settings.
     pub class: String,
-    /// The caller is taken to wait this long.
+    /// Time that the caller waits for an answer.
     pub answer_within: Micros,
-    /// The place of first choice.
+    /// The place of the call's first choice.
     pub place: i64,
 }
 
@@ -357,79 +384,82 @@
     }
 }
 
-/// One program's whole configuration.
+/// The complete configuration of a process.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The name of the process, unchanged by restarts.
     pub name: String,
-    /// Where callers connect.
+    /// Address on which SIP callers connect.
     pub listen: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Where the change log is served, if anywhere.
+    /// Address of the change log; `None` if it is not polled.
     pub change_log: Option<SocketAddr>,
-    /// The change log's events up to the start.
+    /// The events of the change log before the start.
     pub known: Changes,
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of classes and reports.
-    pub names: Names,
-    /// The sockets' limits.
+    /// Names of classes and report fields in the protocols.
+    pub names: WireNames,
+    /// Limits of connections, calls and memory.
     pub limits: Limits,
     /// The operator's file.
-    pub operator: Operator,
+    pub operator: OperatorConfig,
 }
 
 /// A hub as the change log describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its name.
+    /// Its unique name.
     pub uid: String,
-    /// Its address, as written.
+    /// Its address, as it stands in the change log.
     pub endpoint: String,
-    /// The place that calls name.
+    /// Its place, which calls name as their choice.
     pub place: i64,
-    /// Its phase.
+    /// Its phase: in service, draining or gone.
     pub phase: Phase,
-    /// Its late start, if any.
+    /// Time at which it was started, if the change log gives one.
     pub born: Option<Micros>,
 }
 
 /// One event of the change log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Its number.
+    /// Its sequence number.
     pub seq: u64,
-    /// The targets are the whole list.
+    /// Whether `targets` is the complete list of hubs.
     pub all: bool,
-    /// The hubs it names.
+    /// The hubs that it describes.
     pub targets: Vec<Target>,
 }
 
 /// An answer of the change log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// The number of the last event.
+    /// The sequence number of the last event.
     pub seq: u64,
-    /// Later events than those that were asked after.
+    /// The events after the requested sequence number.
     pub events: Vec<Change>,
 }
 
-/// Reads an answer of the change log; a hub that cannot be read is an error at its path.
-pub fn changes(at: &At) -> Read<Changes> {
+/// Reads an answer of the change log. Events without a `fleet` member are skipped.
+///
+/// # Errors
+/// The path of the first value that is not valid.
+pub fn read_changes(at: &JsonNode) -> ConfigResult<Changes> {
     let mut events = Vec::new();
-    for event in at.key("results").or(Vec::new(), At::list)? {
+    for event in at.key("results").value_or(Vec::new(), JsonNode::list)? {
         let fleet = event.key("fleet");
-        if !fleet.is_there() {
+        if !fleet.is_present() {
             continue;
         }
         let mut targets = Vec::new();
-        for target in fleet.key("targets").or(Vec::new(), At::list)? {
-            let boot_ms = target.key("boot_ms").or(Micros(0), At::micros)?.0;
+        for target in fleet.key("targets").value_or(Vec::new(), JsonNode::list)? {
+            let boot_ms = target.key("boot_ms").value_or(Micros(0), JsonNode::micros)?.0;
             targets.push(Target {
                 uid: target.key("uid").text()?.into(),
-                endpoint: target.key("endpoint").or("", At::text)?.into(),
-                place: target.key("pod_group").or(0, At::whole)?,
+                endpoint: target.key("endpoint").value_or("", JsonNode::text)?.into(),
+                place: target.key("pod_group").value_or(0, JsonNode::integer)?,
                 phase: match target.key("state").text()? {
                     "in_service" => Phase::Up,
                     "terminating" => Phase::Draining,
@@ -441,48 +471,51 @@
         }
         events.push(Change {
             seq: event.key("seq").micros()?.0,
-            all: fleet.key("all").or(false, At::flag)?,
+            all: fleet.key("all").value_or(false, JsonNode::boolean)?,
             targets,
         });
     }
     Ok(Changes { seq: at.key("seq").micros()?.0, events })
 }
 
-/// Reads JSON text; `what` names it in the error, which the parser gives no place for.
-pub fn parse(text: &str, what: &str) -> Read<Value> {
+/// Parses a JSON document. `what` names the document in the error, as the parser reports no position.
+pub fn parse(text: &str, what: &str) -> ConfigResult<Value> {
     json::from_str(text)
         .map_err(|_| ConfigError { path: what.into(), problem: "expected a JSON document".into() })
 }
 
 impl Config {
-    /// Reads all that the environment names.
-    pub fn from_environment(get: impl Fn(&str) -> Option<String>) -> Read<Config> {
-        let wrong = |path: &str, problem: String| ConfigError { path: path.into(), problem };
+    /// Reads the configuration that the environment variables name. `get` looks a variable up.
+    pub fn from_environment(get: impl Fn(&str) -> Option<String>) -> ConfigResult<Config> {
+        let error = |path: &str, problem: String| ConfigError { path: path.into(), problem };
         let load = |variable: &str, file: &str| {
-            std::fs::read_to_string(file).map_err(|e| wrong(variable, format!("cannot read '{file}': {e}")))
+            std::fs::read_to_string(file).map_err(|e| error(variable, format!("cannot read '{file}': {e}")))
         };
         let file = get(CONFIG_VARIABLE)
-            .ok_or_else(|| wrong(CONFIG_VARIABLE, "expected the configuration file's path".into()))?;
+            .ok_or_else(|| error(CONFIG_VARIABLE, "expected the configuration file's path".into()))?;
         let value = parse(&load(CONFIG_VARIABLE, &file)?, CONFIG_VARIABLE)?;
-        let mut config = Config::read(&At::root(&value, ""), get(LISTEN_VARIABLE))?;
+        let mut config = Config::read(&JsonNode::root(&value, ""), get(LISTEN_VARIABLE))?;
         if let Some(name) = get(NAME_VARIABLE) {
             config.name = name;
         }
         if let Some(file) = get(OPERATOR_VARIABLE) {
             let value = parse(&load(OPERATOR_VARIABLE, &file)?, OPERATOR_VARIABLE)?;
-            config.operator = Operator::read(&At::root(&value, ""), &config.names)?;
+            config.operator = OperatorConfig::read(&JsonNode::root(&value, ""), &config.names)?;
             if config.operator.fleet.is_some() && !(1..=NAME_MOST).contains(&config.name.len()) {
-                return Err(wrong("name", format!("expected 1 to {NAME_MOST} bytes, for the fleet")));
+                return Err(error(
+                    "name",
+                    format!("expected 1 to {NAME_MOST} bytes, as the fleet is configured"),
+                ));
             }
         }
         Ok(config)
     }
 
-    /// Reads the platform's document; `listen` overrides its key.
-    pub fn read(root: &At, listen: Option<String>) -> Read<Config> {
+    /// Reads the platform's configuration file; `listen` overrides its key.
+    pub fn read(root: &JsonNode, listen: Option<String>) -> ConfigResult<Config> {
         let at = root.key("settings");
-        let (settings, names) = settings(&at)?;
-        let (limits, given) = (at.key("limits"), root.key("limits"));
+        let (settings, names) = read_settings(&at)?;
+        let (limits, process_limits) = (at.key("limits"), root.key("limits"));
         let listen = match listen {
             Some(text) => text.parse().map_err(|_| ConfigError {
                 path: LISTEN_VARIABLE.into(),
@@ -490,127 +523,131 @@
             })?,
             None => root.key("listen").address()?,
         };
-        let seed = match root.key("seed").or("0", At::text) {
+        let seed = match root.key("seed").value_or("0", JsonNode::text) {
             Ok(text) => u64::from_str_radix(text, 16)
-                .map_err(|_| root.key("seed").expected("a text of at most 16 hex digits"))?,
+                .map_err(|_| root.key("seed").expected("a string of at most 16 hex digits"))?,
             Err(_) => root.key("seed").micros()?.0,
         };
         let micros = |m: Micros| Duration::from_micros(m.0);
         let config = Config {
-            name: root.key("name").or("petreldock", At::text)?.into(),
+            name: root.key("name").value_or("petreldock", JsonNode::text)?.into(),
             listen,
             seed,
             change_log: match root.key("changelog") {
-                at if at.is_there() => Some(at.address()?),
+                at if at.is_present() => Some(at.address()?),
                 _ => None,
             },
-            known: root.key("known").or(Changes::default(), changes)?,
+            known: root.key("known").value_or(Changes::default(), read_changes)?,
             limits: Limits {
-                dial_timeout: micros(limits.key("dialTimeout").or(Micros(500_000), At::micros)?),
+                dial_timeout: micros(limits.key("dialTimeout").value_or(Micros(500_000), JsonNode::micros)?),
                 drain_grace: settings.drain_grace,
                 release: settings.release,
-                max_open: limits.key("maxOpen").or(20_000, At::count)?.max(1) as usize,
-                description_bytes: given.key("memory_mb").or(192, At::count)? as usize * MEBIBYTE / 4,
-                sockets: given.key("sockets").or(1024, At::count)?.max(64) as usize,
-                may_probe: limits.key("mayProbe").or(false, At::flag)?,
+                max_open: limits.key("maxOpen").value_or(20_000, JsonNode::count)?.max(1) as usize,
+                max_description_bytes: process_limits.key("memory_mb").value_or(192, JsonNode::count)?
+                    as usize
+                    * MEBIBYTE
+                    / 4,
+                sockets: process_limits.key("sockets").value_or(1024, JsonNode::count)?.max(64) as usize,
+                may_probe: limits.key("mayProbe").value_or(false, JsonNode::boolean)?,
             },
             settings,
             names,
-            operator: Operator::default(),
+            operator: OperatorConfig::default(),
         };
-        // Here, and not when the module starts, so that a reload is refused for the same faults.
+        // Validates the module's settings here as well, so that a reload rejects what a start would reject.
         crate::Controller::new(config.settings.clone(), seed, Micros(0))
             .map_err(|e| ConfigError { path: "settings".into(), problem: e.to_string() })?;
         Ok(config)
     }
 }
 
-impl State {
-    fn read(at: &At) -> Read<State> {
+impl StateConfig {
+    fn read(at: &JsonNode) -> ConfigResult<StateConfig> {
         let folder = at.key("folder").text().ok().filter(|f| !f.is_empty());
-        let (lives, other) = (at.key("halfLivesMs"), DecaySettings::default());
-        let life = |key: &str, other| span(lives.key(key), other, (1, AGE_MOST_MS));
-        Ok(State {
+        let (half_lives, default) = (at.key("halfLivesMs"), DecaySettings::default());
+        let half_life = |key: &str, default| bounded_millis(half_lives.key(key), default, (1, MAX_AGE_MS));
+        Ok(StateConfig {
             folder: folder.ok_or_else(|| at.key("folder").expected("a folder's path"))?.into(),
-            interval: span(at.key("intervalMs"), STATE_EVERY, (100, 600_000))?,
-            ageing: DecaySettings {
-                wait: life("wait", other.wait)?,
-                load: life("load", other.load)?,
-                rate: life("rate", other.rate)?,
-                signs: life("signs", other.signs)?,
-                capacity: life("capacity", other.capacity)?,
-                max_age: span(at.key("greatestAgeMs"), other.max_age, (1, AGE_MOST_MS))?,
+            interval: bounded_millis(at.key("intervalMs"), DEFAULT_STATE_INTERVAL, (100, 600_000))?,
+            decay: DecaySettings {
+                wait: half_life("wait", default.wait)?,
+                load: half_life("load", default.load)?,
+                rate: half_life("rate", default.rate)?,
+                signs: half_life("signs", default.signs)?,
+                capacity: half_life("capacity", default.capacity)?,
+                max_age: bounded_millis(at.key("greatestAgeMs"), default.max_age, (1, MAX_AGE_MS))?,
             },
         })
     }
 }
 
-/// Milliseconds within bounds, as a span.
-fn span(at: At, other: Micros, (least, most): (u64, u64)) -> Read<Micros> {
-    let ms = at.or(Micros(other.0 / 1000), At::micros)?;
-    match (least..=most).contains(&ms.0) {
+/// Reads a duration in milliseconds that must lie between `min` and `max`.
+fn bounded_millis(at: JsonNode, default: Micros, (min, max): (u64, u64)) -> ConfigResult<Micros> {
+    let ms = at.value_or(Micros(default.0 / 1000), JsonNode::micros)?;
+    match (min..=max).contains(&ms.0) {
         true => Ok(Micros(ms.0 * 1000)),
-        false => Err(at.expected(&format!("{least} to {most} milliseconds"))),
+        false => Err(at.expected(&format!("{min} to {max} milliseconds"))),
     }
 }
 
-impl Fleet {
-    fn read(at: &At) -> Read<Fleet> {
-        let label = |at: At, least: usize| match at.text()? {
-            text if (least..=LABEL_MOST).contains(&text.len()) => Ok(text.to_string()),
-            _ => Err(at.expected(&format!("a name of {least} to {LABEL_MOST} bytes"))),
+impl FleetConfig {
+    fn read(at: &JsonNode) -> ConfigResult<FleetConfig> {
+        let label = |at: JsonNode, min_length: usize| match at.text()? {
+            text if (min_length..=LABEL_MOST).contains(&text.len()) => Ok(text.to_string()),
+            _ => Err(at.expected(&format!("a name of {min_length} to {LABEL_MOST} bytes"))),
         };
-        fn few<'a>(at: &At<'a>) -> Read<Vec<At<'a>>> {
+        fn bounded_list<'a>(at: &JsonNode<'a>) -> ConfigResult<Vec<JsonNode<'a>>> {
             match at.list()? {
-                items if items.len() <= NAMED_MOST => Ok(items),
-                _ => Err(at.expected(&format!("{NAMED_MOST} entries at most"))),
+                items if items.len() <= MAX_LIST_ENTRIES => Ok(items),
+                _ => Err(at.expected(&format!("{MAX_LIST_ENTRIES} entries at most"))),
             }
         }
         let mut prefixes: Vec<IpNet> = Vec::new();
-        for item in few(&at.key("prefixes"))? {
+        for item in bounded_list(&at.key("prefixes"))? {
             let prefix = item.text()?.parse().map_err(|_| item.expected("a prefix, as in 10.0.0.0/8"))?;
             prefixes.push(prefix);
         }
         if prefixes.is_empty() {
             return Err(at.key("prefixes").expected("at least one prefix, as in 10.0.0.0/8"));
         }
-        // Danger: an address that no other member may believe in makes a member that nobody ever sees.
-        let under = |at: &At| match at.address()? {
+        // Members ignore addresses outside the prefixes, so a process with such an address would never be seen.
+        let allowed_address = |at: &JsonNode| match at.address()? {
             address if prefixes.iter().any(|p| p.contains(&address.ip())) => Ok(address),
             _ => Err(at.expected("an address under one of the prefixes")),
         };
         let listen = at.key("listen").address()?;
-        let advertise = at.key("advertise").or(None, |a| under(a).map(Some))?;
+        let advertise = at.key("advertise").value_or(None, |a| allowed_address(a).map(Some))?;
         if advertise.is_none() {
-            under(&at.key("listen"))?;
+            allowed_address(&at.key("listen"))?;
         }
         if advertise.is_some_and(|a| a.port() == 0) {
             return Err(at.key("advertise").expected("a port"));
         }
-        let seeds = few(&at.key("seeds"))?.iter().map(under).collect::<Read<_>>()?;
-        Ok(Fleet {
+        let seeds =
+            bounded_list(&at.key("seeds"))?.iter().map(allowed_address).collect::<ConfigResult<_>>()?;
+        Ok(FleetConfig {
             name: label(at.key("name"), 1)?,
             listen,
             advertise,
             seeds,
-            zone: at.key("zone").or(String::new(), |a| label(a.clone(), 0))?,
+            zone: at.key("zone").value_or(String::new(), |a| label(a.clone(), 0))?,
             prefixes,
-            detection: span(at.key("detectionMs"), DETECTION, (500, 60_000))?,
+            detection: bounded_millis(at.key("detectionMs"), DEFAULT_DETECTION_TIME, (500, 60_000))?,
         })
     }
 }
 
-impl Log {
-    fn read(at: &At) -> Read<Log> {
-        Ok(Log {
-            level: match at.key("level").or("info", At::text)? {
-                "error" => Level::Error,
-                "warn" => Level::Warn,
-                "info" => Level::Info,
-                "debug" => Level::Debug,
+impl LogConfig {
+    fn read(at: &JsonNode) -> ConfigResult<LogConfig> {
+        Ok(LogConfig {
+            level: match at.key("level").value_or("info", JsonNode::text)? {
+                "error" => LogLevel::Error,
+                "warn" => LogLevel::Warn,
+                "info" => LogLevel::Info,
+                "debug" => LogLevel::Debug,
                 _ => return Err(at.key("level").expected("error, warn, info or debug")),
             },
-            json: match at.key("form").or("text", At::text)? {
+            json: match at.key("form").value_or("text", JsonNode::text)? {
                 "text" => false,
                 "json" => true,
                 _ => return Err(at.key("form").expected("text or json")),
@@ -619,49 +656,50 @@
     }
 }
 
-impl Operator {
-    /// Reads the operator's file; `names` are the classes that it may name.
-    pub fn read(root: &At, names: &Names) -> Read<Operator> {
-        let mut operator = Operator {
-            state: root.key("state").or(None, |at| State::read(at).map(Some))?,
-            fleet: root.key("fleet").or(None, |at| Fleet::read(at).map(Some))?,
-            log: Log::read(&root.key("log"))?,
-            ..Operator::default()
+impl OperatorConfig {
+    /// Reads the operator's file. `names` holds the classes that it may refer to.
+    pub fn read(root: &JsonNode, names: &WireNames) -> ConfigResult<OperatorConfig> {
+        let mut operator = OperatorConfig {
+            state: root.key("state").value_or(None, |at| StateConfig::read(at).map(Some))?,
+            fleet: root.key("fleet").value_or(None, |at| FleetConfig::read(at).map(Some))?,
+            log: LogConfig::read(&root.key("log"))?,
+            ..OperatorConfig::default()
         };
         let iax2 = root.key("iax2");
-        if !iax2.is_there() {
+        if !iax2.is_present() {
             return Ok(operator);
         }
-        let address = |at: At<'_>| if at.is_there() { at.address().map(Some) } else { Ok(None) };
+        let address = |at: JsonNode<'_>| if at.is_present() { at.address().map(Some) } else { Ok(None) };
         operator.iax2_listen = address(iax2.key("listen"))?;
         operator.iax2_local = address(iax2.key("local"))?;
-        for hub in iax2.key("hubs").or(Vec::new(), At::list)? {
+        for hub in iax2.key("hubs").value_or(Vec::new(), JsonNode::list)? {
             let uid = hub.key("uid").text()?.to_string();
             if uid.is_empty() || operator.iax2_hubs.iter().any(|h| h.uid == uid) {
-                return Err(hub.key("uid").expected("a name that no other hub has"));
+                return Err(hub.key("uid").expected("a name unique among the hubs"));
             }
-            let (address, place) = (hub.key("address").address()?, hub.key("place").or(0, At::whole)?);
+            let (address, place) =
+                (hub.key("address").address()?, hub.key("place").value_or(0, JsonNode::integer)?);
             operator.iax2_hubs.push(Iax2Hub { uid, address, place });
         }
-        let (calls, other) = (iax2.key("calls"), Iax2Calls::default());
-        let class = calls.key("class").or("", At::text)?;
+        let (calls, default) = (iax2.key("calls"), Iax2Calls::default());
+        let class = calls.key("class").value_or("", JsonNode::text)?;
         if !class.is_empty() && !names.classes.contains_key(class) {
             return Err(calls.key("class").expected("a class of the settings"));
         }
-        // Without a class named, the first of the settings.
-        let first = || names.classes.iter().find(|(_, i)| **i == 0).map(|(n, _)| n.clone());
+        // Without a class the first one of the settings applies.
+        let first_class = || names.classes.iter().find(|(_, i)| **i == 0).map(|(n, _)| n.clone());
         operator.iax2_calls = Iax2Calls {
-            class: if class.is_empty() { first().unwrap_or_default() } else { class.into() },
+            class: if class.is_empty() { first_class().unwrap_or_default() } else { class.into() },
             answer_within: calls
                 .key("answerWithinMs")
-                .or(Micros(other.answer_within.0 / 1000), At::micros)
+                .value_or(Micros(default.answer_within.0 / 1000), JsonNode::micros)
                 .map(|ms| Micros(ms.0 * 1000))?,
-            place: calls.key("place").or(other.place, At::whole)?,
+            place: calls.key("place").value_or(default.place, JsonNode::integer)?,
         };
         Ok(operator)
     }
 
-    /// Where calls to IAX2 hubs are placed from: any port, unless the file says.
+    /// Returns the source address of calls to IAX2 hubs: any free port unless the file sets one.
     pub fn local(&self) -> SocketAddr {
         self.iax2_local.unwrap_or_else(|| (Ipv4Addr::UNSPECIFIED, 0).into())
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -11,7 +11,7 @@
 
 pub use types::*;
 
-use crate::config::{Config, Limits, Names};
+use crate::config::{Config, Limits, WireNames};
 use crate::interface::*;
 use crate::learning::{Identity, LearnedHub, LearnedState, RestoredState, StateCollector};
 use crate::metrics;
@@ -203,7 +203,7 @@
 /// State of the core. It reads no clock: callers pass the current time to each method.
 pub struct Core {
     controller: Controller,
-    names: Names,
+    names: WireNames,
     /// Idempotency and deadline of each class.
     classes: Vec<(Idempotency, Micros)>,
     limits: Limits,
@@ -495,7 +495,7 @@
         // The number of calls alone does not bound the memory: set-ups of 16 KiB each would exhaust it long
         // before the table is full.
         let held = self.description_bytes + offer.description.bytes.len();
-        if self.calls.len() >= self.limits.max_open || held > self.limits.description_bytes {
+        if self.calls.len() >= self.limits.max_open || held > self.limits.max_description_bytes {
             return self.to_front(offer.front, ToFront::Refuse(offer.origin, offer.call, Micros(0)));
         }
         self.last_call_id += 1;
--- a/src/fleet/task.rs
+++ b/src/fleet/task.rs
@@ -4,7 +4,7 @@
 use super::view::facts::Facts;
 use super::view::{Event, News, Out, Seen, Setup, View};
 use super::wire::{Identity, DATAGRAM_MOST};
-use crate::config::Fleet;
+use crate::config::FleetConfig;
 use crate::core::{Clock, LoadSummary};
 use crate::interface::Micros;
 use std::io;
@@ -40,7 +40,7 @@
 
 /// Binds the socket and starts the task.
 pub async fn start(
-    fleet: &Fleet,
+    fleet: &FleetConfig,
     name: &str,
     seed: u64,
     clock: Clock,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -54,9 +54,9 @@
 pub mod metrics;
 pub mod net;
 pub mod recovery;
+pub mod simulator_protocol;
 pub mod state;
 pub mod store;
 pub mod telemetry;
-pub mod wire;
 
 pub use logic::Controller;
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::Parser;
 use petreldock::cli::{self, Arguments, Command};
-use petreldock::config::{Config, ConfigError, Iax2Hub, State};
+use petreldock::config::{Config, ConfigError, Iax2Hub, StateConfig};
 use petreldock::core::{self, Clock, Core, FrontId, Hub, Input, LoadSummary, Status};
 use petreldock::fleet::task;
 use petreldock::iax2;
@@ -205,7 +205,7 @@
 }
 
 /// Recalls what was kept, and has what is learnt from now on kept.
-async fn keep(state: &State, core: &mut Core, clock: Clock) -> io::Result<watch::Receiver<Micros>> {
+async fn keep(state: &StateConfig, core: &mut Core, clock: Clock) -> io::Result<watch::Receiver<Micros>> {
     let kept = state::load(state, clock.now()).await;
     let mut kept = kept.map_err(|e| {
         io::Error::new(
--- a/src/net/binary.rs
+++ b/src/net/binary.rs
@@ -1,7 +1,7 @@
 //! The table hubs' binary messages: a length, a type, the call, and parameters.
 
 use super::buffer::MAX_MESSAGE_BYTES;
-use crate::config::Names;
+use crate::config::WireNames;
 use crate::interface::Report;
 use winnow::binary::{be_u16, be_u64, length_take, u8};
 use winnow::combinator::repeat;
@@ -84,7 +84,7 @@
         for part in self.text(code::REPORT).unwrap_or("").split(';') {
             if let Some((name, figure)) = part.split_once(':') {
                 if let Ok(figure) = figure.trim().parse() {
-                    Names::store(&mut report, name.trim(), figure);
+                    WireNames::store(&mut report, name.trim(), figure);
                 }
             }
         }
--- a/src/net/change_log_poller.rs
+++ b/src/net/change_log_poller.rs
@@ -3,7 +3,7 @@
 use super::buffer::Buffer;
 use super::dial::dial;
 use super::http;
-use crate::config::{self, At, Changes};
+use crate::config::{self, Changes, JsonNode};
 use crate::core::{Clock, Hub, HubListUpdate, Input};
 use crate::interface::Micros;
 use rand_core::{RngCore, SeedableRng};
@@ -208,7 +208,8 @@
     }
     let text = String::from_utf8(response.body).map_err(|e| invalid_data(e.to_string()))?;
     let value = config::parse(&text, "answer").map_err(|e| invalid_data(e.to_string()))?;
-    let changes = config::changes(&At::root(&value, "")).map_err(|e| invalid_data(e.to_string()))?;
+    let changes =
+        config::read_changes(&JsonNode::root(&value, "")).map_err(|e| invalid_data(e.to_string()))?;
     // A change log that does not hold back responses without events must not be polled in a tight loop.
     if changes.events.is_empty() && !hold.is_zero() && clock.now() - requested_at < INITIAL_RETRY_DELAY {
         sleep(Duration::from_micros(INITIAL_RETRY_DELAY.0)).await;
--- a/src/recovery/form.rs
+++ b/src/recovery/form.rs
@@ -1,7 +1,7 @@
 //! The form of entries and of the whole table on disk: JSON, with only the keys that a step has.
 
 use super::{Answer, Call, Entry, Ledger, Place, Step, CALLS_MOST};
-use crate::config::{self, At, ConfigError};
+use crate::config::{self, ConfigError, JsonNode};
 use crate::core::CallName;
 use crate::interface::Micros;
 use crate::learning::Identity;
@@ -92,7 +92,7 @@
     text_of(row).into_bytes()
 }
 
-fn call_name(at: &At) -> Read<CallName> {
+fn call_name(at: &JsonNode) -> Read<CallName> {
     let digits = at.text().ok().filter(|t| t.len() == 16);
     digits
         .and_then(|t| u64::from_str_radix(t, 16).ok())
@@ -100,26 +100,26 @@
         .ok_or_else(|| at.expected("16 hex digits"))
 }
 
-fn attempt(at: &At) -> Read<u64> {
-    at.whole().ok().and_then(|n| u64::try_from(n).ok()).ok_or_else(|| at.expected("an attempt's number"))
+fn attempt(at: &JsonNode) -> Read<u64> {
+    at.integer().ok().and_then(|n| u64::try_from(n).ok()).ok_or_else(|| at.expected("an attempt's number"))
 }
 
-fn identity(at: &At) -> Read<Identity> {
+fn identity(at: &JsonNode) -> Read<Identity> {
     let born = at.key("born");
     Ok(Identity {
         uid: at.key("uid").text()?.into(),
         endpoint: at.key("endpoint").text()?.into(),
-        place: at.key("hubPlace").whole()?,
-        born: if born.is_there() { Some(born.micros()?) } else { None },
+        place: at.key("hubPlace").integer()?,
+        born: if born.is_present() { Some(born.micros()?) } else { None },
     })
 }
 
-fn description(at: &At) -> Read<Vec<u8>> {
+fn description(at: &JsonNode) -> Read<Vec<u8>> {
     let at = at.key("description");
     hex::decode(at.text()?).map_err(|_| at.expected("hex digits"))
 }
 
-fn answer(at: &At) -> Read<Option<Answer>> {
+fn answer(at: &JsonNode) -> Read<Option<Answer>> {
     Ok(match at.key("is").text()? {
         "stands" => Some(Answer::Stands(description(at)?)),
         "refused" => Some(Answer::Refused(at.key("away").micros()?)),
@@ -128,10 +128,10 @@
     })
 }
 
-fn root<T>(payload: &[u8], read: impl Fn(&At) -> Read<T>) -> Result<T, String> {
+fn root<T>(payload: &[u8], read: impl Fn(&JsonNode) -> Read<T>) -> Result<T, String> {
     let text = std::str::from_utf8(payload).map_err(|_| "it is no text".to_string())?;
     let value = config::parse(text, "it").map_err(|e| e.to_string())?;
-    read(&At::root(&value, "")).map_err(|e| e.to_string())
+    read(&JsonNode::root(&value, "")).map_err(|e| e.to_string())
 }
 
 fn known(version: u16) -> Result<(), String> {
@@ -153,7 +153,7 @@
                 front: row.key("front").count()? as usize,
                 class: row.key("class").text()?.into(),
                 number: row.key("number").text()?.into(),
-                place: row.key("place").whole()?,
+                place: row.key("place").integer()?,
                 deadline: row.key("deadline").micros()?,
             },
             "begins" => Step::Begins {
@@ -226,7 +226,7 @@
                 front: row.key("front").count()? as usize,
                 class: row.key("class").text()?.into(),
                 number: row.key("number").text()?.into(),
-                first: row.key("place").whole()?,
+                first: row.key("place").integer()?,
                 deadline: row.key("deadline").micros()?,
                 sent: row.key("sent").count()?,
                 place,
--- a/src/wire.rs
+++ b/src/simulator_protocol.rs
@@ -1,12 +1,12 @@
 //! The simulator's wire: lines of text to events, actions to lines. No decisions stand here.
 
-use crate::config::{self, At, Names};
+use crate::config::{self, JsonNode, WireNames};
 use crate::interface::*;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 /// A line that could not be read: what was expected.
-pub type Malformed = String;
+pub type ParseError = String;
 
 /// The parts of one line: its name and its `name=value` pairs.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
 
 impl<'a> Line<'a> {
     /// Splits a line; a field of type text runs to the end of it.
-    pub fn parse(text: &'a str) -> Result<Line<'a>, Malformed> {
+    pub fn parse(text: &'a str) -> Result<Line<'a>, ParseError> {
         let (name, mut rest) = text.split_once(' ').unwrap_or((text, ""));
         if name.is_empty() {
             return Err("expected a message name".into());
@@ -26,10 +26,10 @@
         let mut pairs = Vec::new();
         while !rest.is_empty() {
             let Some((key, value)) = rest.split_once('=') else {
-                return Err(format!("expected name=value, found '{}'", clip(rest)));
+                return Err(format!("expected name=value, found '{}'", truncated(rest)));
             };
             if key.is_empty() || key.contains(' ') {
-                return Err(format!("expected name=value, found '{}'", clip(rest)));
+                return Err(format!("expected name=value, found '{}'", truncated(rest)));
             }
             if matches!(key, "params" | "words") {
                 pairs.push((key, value));
@@ -48,59 +48,62 @@
     }
 
     /// A field that must be there.
-    pub fn need(&self, key: &str) -> Result<&'a str, Malformed> {
+    pub fn require(&self, key: &str) -> Result<&'a str, ParseError> {
         self.get(key).ok_or_else(|| format!("{}: expected a field '{key}'", self.name))
     }
 
     /// A whole number that must be there.
-    pub fn number(&self, key: &str) -> Result<u64, Malformed> {
-        let text = self.need(key)?;
-        text.parse()
-            .map_err(|_| format!("{}: expected a whole number in '{key}', found '{}'", self.name, clip(text)))
+    pub fn number(&self, key: &str) -> Result<u64, ParseError> {
+        let text = self.require(key)?;
+        text.parse().map_err(|_| {
+            format!("{}: expected a whole number in '{key}', found '{}'", self.name, truncated(text))
+        })
     }
 
-    fn number_or(&self, key: &str, other: u64) -> Result<u64, Malformed> {
-        self.get(key).map_or(Ok(other), |_| self.number(key))
+    fn number_or(&self, key: &str, default: u64) -> Result<u64, ParseError> {
+        self.get(key).map_or(Ok(default), |_| self.number(key))
     }
 
-    fn signed(&self, key: &str) -> Result<Option<i64>, Malformed> {
+    fn signed_number(&self, key: &str) -> Result<Option<i64>, ParseError> {
         let read = |t: &str| {
             t.parse().map_err(|_| {
-                format!("{}: expected a whole number in '{key}', found '{}'", self.name, clip(t))
+                format!("{}: expected a whole number in '{key}', found '{}'", self.name, truncated(t))
             })
         };
         self.get(key).map(read).transpose()
     }
 
-    fn flag(&self, key: &str) -> Result<bool, Malformed> {
+    fn flag(&self, key: &str) -> Result<bool, ParseError> {
         match self.get(key) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(text) => Err(format!("{}: expected 0 or 1 in '{key}', found '{}'", self.name, clip(text))),
+            Some(text) => {
+                Err(format!("{}: expected 0 or 1 in '{key}', found '{}'", self.name, truncated(text)))
+            }
         }
     }
 }
 
-fn clip(text: &str) -> String {
+fn truncated(text: &str) -> String {
     text.chars().take(40).collect()
 }
 
 /// Reads the settings of an `init`.
-pub fn settings(params: &str) -> Result<(Settings, Names), Malformed> {
+pub fn parse_settings(params: &str) -> Result<(Settings, WireNames), ParseError> {
     let root = config::parse(params, "params").map_err(|_| "init: expected JSON in 'params'".to_string())?;
-    config::settings(&At::root(&root, "")).map_err(|e| format!("init: {e}"))
+    config::read_settings(&JsonNode::root(&root, "")).map_err(|e| format!("init: {e}"))
 }
 
 /// Reads an `entry` line of a catalog.
-pub fn entry(line: &Line) -> Result<Entry, Malformed> {
+pub fn parse_entry(line: &Line) -> Result<Entry, ParseError> {
     Ok(Entry {
         server: ServerId(line.number("switch")?),
-        place: line.signed("placeNo")?.unwrap_or(0),
-        phase: match line.need("phase")? {
+        place: line.signed_number("placeNo")?.unwrap_or(0),
+        phase: match line.require("phase")? {
             "in_service" => Phase::Up,
             "terminating" => Phase::Draining,
             "terminated" => Phase::Gone,
-            other => return Err(format!("entry: expected a known phase, found '{}'", clip(other))),
+            other => return Err(format!("entry: expected a known phase, found '{}'", truncated(other))),
         },
         born: Some(line.number_or("born", 0)?).filter(|b| *b > 0).map(Micros),
         phase_since: None,
@@ -108,35 +111,35 @@
 }
 
 /// Reads a list event; the entries come from the catalog it names.
-pub fn list(line: &Line, catalogs: &BTreeMap<u64, Vec<Entry>>) -> Result<Event, Malformed> {
-    let kind = match line.need("kind")? {
+pub fn parse_registry(line: &Line, catalogs: &BTreeMap<u64, Vec<Entry>>) -> Result<Event, ParseError> {
+    let kind = match line.require("kind")? {
         "INCREMENTAL" => ListKind::Changes,
         "FULL" => ListKind::Full,
         "SAVED" => ListKind::Saved,
         "FAILED" => return Ok(Event::List(ListKind::Failed, Vec::new())),
-        other => return Err(format!("registry: expected a known kind, found '{}'", clip(other))),
+        other => return Err(format!("registry: expected a known kind, found '{}'", truncated(other))),
     };
     let id = line.number("setId")?;
     let entries = catalogs.get(&id).ok_or_else(|| format!("registry: expected a catalog {id} before it"))?;
     Ok(Event::List(kind, entries.clone()))
 }
 
-fn report(line: &Line, names: &Names) -> Result<Report, Malformed> {
+fn parse_report(line: &Line, names: &WireNames) -> Result<Report, ParseError> {
     let mut report = Report::default();
     let Some(text) = line.get("metrics") else {
         return Ok(report);
     };
     for (name, value) in names.report.iter().zip(text.split(',')) {
-        let number: f64 = value
-            .parse()
-            .map_err(|_| format!("{}: expected numbers in 'metrics', found '{}'", line.name, clip(value)))?;
-        Names::store(&mut report, name, number);
+        let number: f64 = value.parse().map_err(|_| {
+            format!("{}: expected numbers in 'metrics', found '{}'", line.name, truncated(value))
+        })?;
+        WireNames::store(&mut report, name, number);
     }
     Ok(report)
 }
 
-fn outcome(line: &Line) -> Result<Outcome, Malformed> {
-    Ok(match line.need("disposition")? {
+fn parse_outcome(line: &Line) -> Result<Outcome, ParseError> {
+    Ok(match line.require("disposition")? {
         "success" => Outcome::Success,
         "failure" => Outcome::Failure,
         "overloaded" if line.number_or("note", 0)? % 16 == 3 => Outcome::ProcessorFull,
@@ -146,12 +149,14 @@
         "broken" => Outcome::Broken,
         "withdrawn" => Outcome::Withdrawn,
         "void" => Outcome::Void,
-        other => return Err(format!("{}: expected a known disposition, found '{}'", line.name, clip(other))),
+        other => {
+            return Err(format!("{}: expected a known disposition, found '{}'", line.name, truncated(other)))
+        }
     })
 }
 
 /// Reads any other event of an instance; `None`: a message that this version does not know.
-pub fn event(line: &Line, names: &Names) -> Result<Option<Event>, Malformed> {
+pub fn parse_event(line: &Line, names: &WireNames) -> Result<Option<Event>, ParseError> {
     let id = || line.number("handle").map(CallId);
     let server = || line.number("switch").map(ServerId);
     let copy = || {
@@ -160,13 +165,13 @@
     };
     Ok(Some(match line.name {
         "accept" => {
-            let grade = line.need("grade")?;
+            let grade = line.require("grade")?;
             let class = names.classes.get(grade);
             Event::Call(NewCall {
                 id: id()?,
                 class: *class
-                    .ok_or_else(|| format!("accept: expected a known grade, found '{}'", clip(grade)))?,
-                place: line.signed("farEnd")?.unwrap_or(-1),
+                    .ok_or_else(|| format!("accept: expected a known grade, found '{}'", truncated(grade)))?,
+                place: line.signed_number("farEnd")?.unwrap_or(-1),
                 number: line.get("affinity").map(|_| line.number("affinity")).transpose()?,
                 deadline: Micros(line.number("clientDeadline")?),
                 repeat: line.flag("repeat")?,
@@ -179,26 +184,26 @@
             id: id()?,
             attempt: copy()?,
             server: server()?,
-            outcome: outcome(line)?,
+            outcome: parse_outcome(line)?,
             over: line.flag("terminal")?,
             number_busy: line.number_or("note", 0)? % 16 == 4,
-            report: report(line, names)?,
+            report: parse_report(line, names)?,
         }),
         "dropped" => Event::CallerLeft(id()?),
         "tick_due" => Event::Timer(line.number("mark")?),
-        "echo" => Event::Probed(server()?, outcome(line)?, report(line, names)?),
+        "echo" => Event::Probed(server()?, parse_outcome(line)?, parse_report(line, names)?),
         "inbox" => {
             let from = line.number("from")?;
             let from =
                 u32::try_from(from).map_err(|_| "inbox: expected a small number in 'from'".to_string())?;
-            Event::PeerMessage(from, hex(line.need("msg")?)?)
+            Event::PeerMessage(from, parse_hex(line.require("msg")?)?)
         }
         _ => return Ok(None),
     }))
 }
 
-fn hex(text: &str) -> Result<Vec<u8>, Malformed> {
-    let wrong = || format!("inbox: expected hex digits in 'msg', found '{}'", clip(text));
+fn parse_hex(text: &str) -> Result<Vec<u8>, ParseError> {
+    let wrong = || format!("inbox: expected hex digits in 'msg', found '{}'", truncated(text));
     if text == "-" {
         return Ok(Vec::new());
     }
@@ -208,7 +213,7 @@
 }
 
 /// Writes one action as a line.
-pub fn format(action: &Action, out: &mut String) {
+pub fn write_action(action: &Action, out: &mut String) {
     let done = match action {
         Action::Send(id, server, timeout) => {
             writeln!(out, "forward handle={} switch={} timeout={}", id.0, server.0, timeout.0)
@@ -232,28 +237,28 @@
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
     catalogs: BTreeMap<u64, Vec<Entry>>,
-    filling: Option<(u64, u64)>,
+    open_catalog: Option<(u64, u64)>,
     batch: Option<(Micros, u64)>,
-    at: Option<u64>,
-    said: BTreeMap<u64, String>,
+    current_instance: Option<u64>,
+    replies: BTreeMap<u64, String>,
 }
 
 struct Instance {
     controller: crate::Controller,
-    names: Names,
+    names: WireNames,
 }
 
 impl Host {
     /// Takes one line; gives the reply when it closes a batch.
-    pub fn line(&mut self, text: &str) -> Result<Option<String>, Malformed> {
+    pub fn handle_line(&mut self, text: &str) -> Result<Option<String>, ParseError> {
         let line = Line::parse(text)?;
-        if let Some((id, left)) = self.filling {
+        if let Some((id, left)) = self.open_catalog {
             if line.name != "entry" {
-                return Err(format!("expected {left} more 'entry' lines, found '{}'", clip(line.name)));
+                return Err(format!("expected {left} more 'entry' lines, found '{}'", truncated(line.name)));
             }
-            let read = entry(&line)?;
+            let read = parse_entry(&line)?;
             self.catalogs.entry(id).or_default().push(read);
-            self.filling = Some((id, left - 1)).filter(|(_, left)| *left > 0);
+            self.open_catalog = Some((id, left - 1)).filter(|(_, left)| *left > 0);
             return Ok(None);
         }
         if line.name == "batch" {
@@ -261,29 +266,29 @@
                 return Err("expected 'flush' before the next 'batch'".into());
             }
             self.batch = Some((Micros(line.number("moment")?), line.number("serial")?));
-            self.at = None;
+            self.current_instance = None;
             return Ok(None);
         }
         let Some((now, serial)) = self.batch else {
-            return Err(format!("expected 'batch', found '{}'", clip(line.name)));
+            return Err(format!("expected 'batch', found '{}'", truncated(line.name)));
         };
         match line.name {
             "flush" => {
                 self.batch = None;
                 let mut reply = String::new();
-                for (who, said) in std::mem::take(&mut self.said) {
+                for (who, said) in std::mem::take(&mut self.replies) {
                     let _ = writeln!(reply, "at who={who}");
                     reply.push_str(&said);
                 }
                 let _ = writeln!(reply, "finished serial={serial}");
                 return Ok(Some(reply));
             }
-            "switch_to" => self.at = Some(line.number("who")?),
+            "switch_to" => self.current_instance = Some(line.number("who")?),
             "entry" => return Err("expected a 'catalog' before 'entry'".into()),
             "catalog" => {
                 let (id, members) = (line.number("setId")?, line.number("members")?);
                 self.catalogs.insert(id, Vec::new());
-                self.filling = Some((id, members)).filter(|(_, left)| *left > 0);
+                self.open_catalog = Some((id, members)).filter(|(_, left)| *left > 0);
             }
             _ => self.deliver(&line, now)?,
         }
@@ -291,33 +296,38 @@
     }
 
     /// Whether the input may end here.
-    pub fn idle(&self) -> bool {
+    pub fn is_between_batches(&self) -> bool {
         self.batch.is_none()
     }
 
-    fn deliver(&mut self, line: &Line, now: Micros) -> Result<(), Malformed> {
-        let who = self.at.ok_or_else(|| format!("expected 'switch_to' before '{}'", clip(line.name)))?;
+    fn deliver(&mut self, line: &Line, now: Micros) -> Result<(), ParseError> {
+        let who = self
+            .current_instance
+            .ok_or_else(|| format!("expected 'switch_to' before '{}'", truncated(line.name)))?;
         match line.name {
             "init" => {
                 let seed = line.number("seed")?;
-                let (set, names) = settings(line.need("params")?)?;
+                let (set, names) = parse_settings(line.require("params")?)?;
                 let controller = crate::Controller::new(set, seed, now).map_err(|e| format!("init: {e}"))?;
                 self.instances.insert(who, Instance { controller, names });
             }
             "shutdown" => {
                 self.instances.remove(&who);
-                self.said.remove(&who);
+                self.replies.remove(&who);
             }
             _ => {
                 let Some(instance) = self.instances.get_mut(&who) else {
-                    return Err(format!("expected 'init' before '{}' for instance {who}", clip(line.name)));
+                    return Err(format!(
+                        "expected 'init' before '{}' for instance {who}",
+                        truncated(line.name)
+                    ));
                 };
                 let event = match line.name {
-                    "registry" => Some(list(line, &self.catalogs)?),
-                    _ => event(line, &instance.names)?,
+                    "registry" => Some(parse_registry(line, &self.catalogs)?),
+                    _ => parse_event(line, &instance.names)?,
                 };
                 let Some(event) = event else {
-                    return Err(format!("expected a known message, found '{}'", clip(line.name)));
+                    return Err(format!("expected a known message, found '{}'", truncated(line.name)));
                 };
                 let mut actions = Vec::new();
                 let controller = &mut instance.controller;
@@ -327,13 +337,13 @@
                 if handled.is_ok() && actions.is_empty() {
                     return Ok(());
                 }
-                let said = self.said.entry(who).or_default();
-                actions.iter().for_each(|action| format(action, said));
+                let reply = self.replies.entry(who).or_default();
+                actions.iter().for_each(|action| write_action(action, reply));
                 if let Err(panic) = handled {
                     let words = panic.downcast_ref::<&str>().map(|s| s.to_string());
                     let words = words.or_else(|| panic.downcast_ref::<String>().cloned());
                     let words = words.unwrap_or_else(|| "panic".into()).replace('\n', " ");
-                    let _ = writeln!(said, "exception words={words}");
+                    let _ = writeln!(reply, "exception words={words}");
                 }
             }
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -5,7 +5,7 @@
 //! wins while a slow disk is busy. A disk that fails is tried again after a pause that doubles; it is said once
 //! when it begins and once when it ends.
 
-use crate::config::State;
+use crate::config::StateConfig;
 use crate::interface::Micros;
 use crate::learning::{self, LearnedState, RestoredState};
 use crate::store::{Disk, Folder, Header, Loaded, OpenError, Snapshots};
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// The folder is in use by another process. Every other fault is logged, and the program runs without.
-pub async fn load(state: &State, now: Micros) -> Result<Kept, OpenError> {
+pub async fn load(state: &StateConfig, now: Micros) -> Result<Kept, OpenError> {
     let mut keeper = Keeper::new(&state.folder);
     let folder = state.folder.display();
     let mut opening = spawn_blocking(move || {
@@ -113,10 +113,10 @@
     Ok(Kept { memory, keeper: Opening::Done(keeper) })
 }
 
-fn take_up(loaded: Loaded<LearnedState>, state: &State, now: Micros) -> Option<RestoredState> {
+fn take_up(loaded: Loaded<LearnedState>, state: &StateConfig, now: Micros) -> Option<RestoredState> {
     let picture = loaded.found?;
     let age = (now - picture.at).secs();
-    let (memory, taken) = RestoredState::new(picture, state.ageing.clone(), now);
+    let (memory, taken) = RestoredState::new(picture, state.decay.clone(), now);
     let what = match (taken.from_future, taken.too_old) {
         (true, _) => "none used: it claims to be from the future",
         (_, true) => "none used: it is too old",
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -1,15 +1,15 @@
 //! Logs: one subscriber for the whole program, on standard error.
 
-use crate::config::{Level, Log};
+use crate::config::{LogConfig, LogLevel};
 use tracing::level_filters::LevelFilter;
 
 /// Starts logging; a second call changes nothing.
-pub fn start(log: &Log) {
+pub fn start(log: &LogConfig) {
     let level = match log.level {
-        Level::Error => LevelFilter::ERROR,
-        Level::Warn => LevelFilter::WARN,
-        Level::Info => LevelFilter::INFO,
-        Level::Debug => LevelFilter::DEBUG,
+        LogLevel::Error => LevelFilter::ERROR,
+        LogLevel::Warn => LevelFilter::WARN,
+        LogLevel::Info => LevelFilter::INFO,
+        LogLevel::Debug => LevelFilter::DEBUG,
     };
     let form =
         tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_target(false);
--- a/tests/common/site.rs
+++ b/tests/common/site.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use petreldock::config::{self, At, Config};
+use petreldock::config::{self, Config, JsonNode};
 
 /// The settings: one class that wants to stand within 1 s.
 pub const SETTINGS: &str = r#"{"balancers":1,"classes":[{"name":"voice","objective":1000000,"deadline":6000000,
@@ -37,5 +37,5 @@
 pub fn config(targets: &[String]) -> Config {
     let text = document("127.0.0.1:0", None, targets);
     let value = config::parse(&text, "test").expect("JSON");
-    Config::read(&At::root(&value, ""), None).expect("a sound configuration")
+    Config::read(&JsonNode::root(&value, ""), None).expect("a sound configuration")
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -518,7 +518,7 @@
 
 #[test]
 fn the_total_size_of_descriptions_is_bounded_and_released_with_the_calls() {
-    let mut harness = Harness::with(|c| c.limits.description_bytes = 25_000);
+    let mut harness = Harness::with(|c| c.limits.max_description_bytes = 25_000);
     let body = [b'v'; 10_000];
     for call in [1, 2, 3] {
         harness.offer_with(call, 0, &body);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -261,13 +261,13 @@
         ),
         (format!("{base},\"advertise\":\"127.0.0.1:0\""), "fleet.advertise: expected a port"),
         (format!("{base},\"detectionMs\":20"), "fleet.detectionMs: expected 500 to 60000 milliseconds"),
-        (format!("{base},\"zone\":7"), "fleet.zone: expected a text"),
+        (format!("{base},\"zone\":7"), "fleet.zone: expected a string"),
     ] {
         let value =
             petreldock::config::parse(&format!(r#"{{"fleet":{{{section}}}}}"#), "file").expect("JSON");
-        let root = petreldock::config::At::root(&value, "");
+        let root = petreldock::config::JsonNode::root(&value, "");
         let names = site::config(&[]).names;
-        let error = petreldock::config::Operator::read(&root, &names).expect_err(&section).to_string();
+        let error = petreldock::config::OperatorConfig::read(&root, &names).expect_err(&section).to_string();
         assert!(error.starts_with(expected), "{section}: {error}");
     }
     drop(fleet);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -4,7 +4,7 @@
 mod garble;
 
 use garble::feed;
-use petreldock::config::{self, At};
+use petreldock::config::{self, JsonNode};
 use petreldock::iax2::frame::{self, element, iax, kind, put, Elements, Frame, Full};
 use petreldock::net::sip::{Malformed, StartLine};
 use petreldock::net::{binary, http, sip};
@@ -161,7 +161,7 @@
         (r#"{"settings":{"classes":[]}}"#, "listen: expected an address, as in 10.0.0.4:5060"),
         (
             r#"{"settings":{"classes":[{"name":"a","objective":"x"}]}}"#,
-            "settings.classes[0].objective: expected a time of nought or more",
+            "settings.classes[0].objective: expected a time of zero or more",
         ),
         (&format!(r#"{{"settings":{settings}}}"#), "settings.limits.maxAttempts: expected a count"),
         (
@@ -171,7 +171,7 @@
     ];
     for (text, expected) in cases {
         let value = config::parse(text, "file").expect("JSON");
-        let error = config::Config::read(&At::root(&value, ""), None).expect_err(text);
+        let error = config::Config::read(&JsonNode::root(&value, ""), None).expect_err(text);
         assert_eq!(error.to_string(), expected);
     }
     assert_eq!(
@@ -180,7 +180,8 @@
     );
     let operator = |text: &str| {
         let value = config::parse(text, "file").expect("JSON");
-        config::Operator::read(&At::root(&value, ""), &config::Names::default()).map_err(|e| e.to_string())
+        config::OperatorConfig::read(&JsonNode::root(&value, ""), &config::WireNames::default())
+            .map_err(|e| e.to_string())
     };
     let duplicate_uid =
         r#"{"iax2":{"hubs":[{"uid":"a","address":"127.0.0.1:1"},{"uid":"a","address":"127.0.0.1:2"}]}}"#;
@@ -192,5 +193,5 @@
         operator(r#"{"iax2":{"calls":{"class":"x"}}}"#),
         Err("iax2.calls.class: expected a class of the settings".into())
     );
-    assert_eq!(operator("{}"), Ok(config::Operator::default()), "features are off unless configured");
+    assert_eq!(operator("{}"), Ok(config::OperatorConfig::default()), "features are off unless configured");
 }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -6,7 +6,7 @@
 mod site;
 
 use peers::*;
-use petreldock::config::{self, At, Config, Operator};
+use petreldock::config::{self, Config, JsonNode, OperatorConfig};
 use petreldock::learning::DecaySettings;
 use petreldock::net::binary::{code, kind};
 use std::io::{Read, Write};
@@ -386,14 +386,14 @@
 fn the_examples_are_accepted() {
     let read = |path: &str| std::fs::read_to_string(path).expect("there");
     let value = config::parse(&read("examples/config.json"), "examples").expect("JSON");
-    let read_config = Config::read(&At::root(&value, ""), None).expect("sound");
+    let read_config = Config::read(&JsonNode::root(&value, ""), None).expect("sound");
     assert_eq!(read_config.known.events[0].targets[0].uid, "toy-1");
     let value = config::parse(&read("deploy/operator.example.json"), "operator").expect("JSON");
-    let operator = Operator::read(&At::root(&value, ""), &read_config.names).expect("sound");
+    let operator = OperatorConfig::read(&JsonNode::root(&value, ""), &read_config.names).expect("sound");
     assert!(operator.iax2_listen.is_some() && operator.iax2_hubs.len() == 1);
     let value = config::parse(&read("deploy/state.example.json"), "operator").expect("JSON");
-    let operator = Operator::read(&At::root(&value, ""), &read_config.names).expect("sound");
-    assert!(operator.state.is_some_and(|s| s.ageing == DecaySettings::default()) && operator.log.json);
+    let operator = OperatorConfig::read(&JsonNode::root(&value, ""), &read_config.names).expect("sound");
+    assert!(operator.state.is_some_and(|s| s.decay == DecaySettings::default()) && operator.log.json);
 }
 
 #[test]
--- a/tests/wire.rs
+++ b/tests/simulator_protocol.rs
@@ -1,7 +1,7 @@
 //! The wire and the built adapter: round trips, a small dialogue, and what is malformed.
 
 use petreldock::interface::*;
-use petreldock::wire::{self, Host, Line};
+use petreldock::simulator_protocol::{self, Host, Line};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -63,14 +63,14 @@
 fn instances_are_isolated_and_stop() {
     let mut host = Host::default();
     for line in start().lines() {
-        host.line(line).expect("legal");
+        host.handle_line(line).expect("legal");
     }
-    host.line("batch moment=200 serial=2").expect("legal");
-    host.line("switch_to who=4").expect("legal");
-    assert!(host.line("tick_due mark=1").is_err(), "an instance that was never started is named");
-    host.line("switch_to who=3").expect("legal");
-    host.line("shutdown").expect("legal");
-    assert!(host.line("tick_due mark=1").is_err(), "a stopped instance is gone");
+    host.handle_line("batch moment=200 serial=2").expect("legal");
+    host.handle_line("switch_to who=4").expect("legal");
+    assert!(host.handle_line("tick_due mark=1").is_err(), "an instance that was never started is named");
+    host.handle_line("switch_to who=3").expect("legal");
+    host.handle_line("shutdown").expect("legal");
+    assert!(host.handle_line("tick_due mark=1").is_err(), "a stopped instance is gone");
 }
 
 #[test]
@@ -105,14 +105,14 @@
 
 #[test]
 fn fields_are_read() {
-    let (set, names) = wire::settings(PARAMS).expect("legal");
+    let (set, names) = simulator_protocol::parse_settings(PARAMS).expect("legal");
     assert_eq!((set.balancers, set.max_attempts, set.release), (2, 3, Micros(300_000)));
     assert_eq!(set.classes[0].places, vec![0, 1]);
     let line = Line::parse(
         "done handle=4 copy=1 switch=7 disposition=failure took=9 terminal=1 note=4 metrics=3,5,-1,8",
     )
     .expect("legal");
-    let event = wire::event(&line, &names).expect("legal").expect("known");
+    let event = simulator_protocol::parse_event(&line, &names).expect("legal").expect("known");
     let report = Report { free: Some(3.0), size: Some(5.0), ..Report::default() };
     let (id, server) = (CallId(4), ServerId(7));
     assert_eq!(
@@ -128,7 +128,10 @@
         })
     );
     let line = Line::parse("inbox from=2 msg=6869").expect("legal");
-    assert_eq!(wire::event(&line, &names).expect("legal"), Some(Event::PeerMessage(2, b"hi".to_vec())));
+    assert_eq!(
+        simulator_protocol::parse_event(&line, &names).expect("legal"),
+        Some(Event::PeerMessage(2, b"hi".to_vec()))
+    );
 }
 
 #[test]
@@ -144,7 +147,7 @@
     ];
     for (action, expected) in cases {
         let mut text = String::new();
-        wire::format(&action, &mut text);
+        simulator_protocol::write_action(&action, &mut text);
         assert_eq!(text, expected);
     }
 }
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -114,7 +114,7 @@
         (r#"{"state":{"folder":"a","greatestAgeMs":-1}}"#, "state.greatestAgeMs: expected a time"),
         (r#"{"state":{"folder":"a","halfLivesMs":{"wait":0}}}"#, "state.halfLivesMs.wait: expected 1 to"),
         (r#"{"log":{"level":"loud"}}"#, "log.level: expected error, warn, info or debug"),
-        (r#"{"log":{"form":7}}"#, "log.form: expected a text"),
+        (r#"{"log":{"form":7}}"#, "log.form: expected a string"),
     ] {
         let (good, said) = check(faulty);
         assert!(!good && said.starts_with(&format!("petreldock: {key}")), "{faulty}: {said}");
@@ -211,7 +211,7 @@
     let log = program.log();
     let line = log.lines().find(|l| l.contains("serving at")).expect("logged");
     let value = petreldock::config::parse(line, "log").expect("JSON");
-    let root = petreldock::config::At::root(&value, "");
+    let root = petreldock::config::JsonNode::root(&value, "");
     assert_eq!(root.key("level").text(), Ok("INFO"));
     assert_eq!(root.key("fields").key("name").text(), Ok("n1"));
     // One that says nothing does not say where it serves either.
