--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,13 +1,13 @@
-//! The command line. Without a command the program serves.
+//! The command line: its arguments and the commands other than `serve`.
 
 use crate::config::{
     Config, OperatorConfig, CONFIG_VARIABLE, LISTEN_VARIABLE, NAME_VARIABLE, OPERATOR_VARIABLE,
 };
-use crate::fleet::show::{self, Shown as ShownFleet};
+use crate::fleet::show::{self, Shown as FleetView};
 use crate::fleet::wire::{self, Identity, Kind, DATAGRAM_MOST};
 use crate::interface::Micros;
 use crate::learning::{LearnedHub, LearnedState};
-use crate::state::{self, Examined};
+use crate::state::{self, CheckedFile};
 use crate::store::LOCK;
 use clap::{Parser, Subcommand};
 use miniserde::{json, Serialize};
@@ -42,15 +42,15 @@
     Check,
     /// Look at what is kept over restarts
     #[command(subcommand)]
-    State(State),
+    State(StateCommand),
     /// Look at the fleet as a running program sees it
     #[command(subcommand)]
-    Fleet(Fleet),
+    Fleet(FleetCommand),
 }
 
 /// What to do with a fleet.
 #[derive(Debug, Subcommand)]
-pub enum Fleet {
+pub enum FleetCommand {
     /// Show the members that the program at ADDRESS knows; it answers this machine alone
     Show {
         /// Where the program takes the fleet's datagrams
@@ -63,7 +63,7 @@
 
 /// What to do with a state folder.
 #[derive(Debug, Subcommand)]
-pub enum State {
+pub enum StateCommand {
     /// Show what was learnt; safe beside a running program
     Show {
         /// The state folder
@@ -87,20 +87,20 @@
     },
 }
 
-/// What a command printed, and whether all was well.
+/// The output of a command and whether it succeeded.
 #[derive(Debug, Default)]
-pub struct Printed {
-    /// For standard output.
+pub struct CommandOutput {
+    /// Text for standard output.
     pub text: String,
-    /// The exit code is 0.
-    pub good: bool,
+    /// Whether the exit code is 0.
+    pub success: bool,
 }
 
-/// Says what of a configuration is in force.
-pub fn check(config: &Config) -> String {
+/// Lists the effective values of a configuration, one per line.
+pub fn describe_config(config: &Config) -> String {
     let mut text = String::new();
-    let mut line = |what: &str, value: String| {
-        let _ = writeln!(text, "{what:<30}{value}");
+    let mut line = |key: &str, value: String| {
+        let _ = writeln!(text, "{key:<30}{value}");
     };
     let OperatorConfig { iax2_listen, iax2_hubs, state, fleet, log, .. } = &config.operator;
     let hubs: usize = config.known.events.iter().map(|e| e.targets.len()).sum();
@@ -117,18 +117,21 @@
         None => line("state", "off".into()),
         Some(state) => {
             let seconds = |m: Micros| format!("{} s", m.secs());
-            let lives = &state.decay;
+            let decay = &state.decay;
             line("state.folder", state.folder.display().to_string());
             line("state.intervalMs", (state.interval.0 / 1000).to_string());
-            line("state.greatestAgeMs", (lives.max_age.0 / 1000).to_string());
-            for (kind, life) in [
-                ("wait", lives.wait),
-                ("load", lives.load),
-                ("rate", lives.rate),
-                ("signs", lives.signs),
-                ("capacity", lives.capacity),
+            line("state.greatestAgeMs", (decay.max_age.0 / 1000).to_string());
+            for (kind, half_life) in [
+                ("wait", decay.wait),
+                ("load", decay.load),
+                ("rate", decay.rate),
+                ("signs", decay.signs),
+                ("capacity", decay.capacity),
             ] {
-                line(&format!("state.halfLivesMs.{kind}"), format!("{} ({})", life.0 / 1000, seconds(life)));
+                line(
+                    &format!("state.halfLivesMs.{kind}"),
+                    format!("{} ({})", half_life.0 / 1000, seconds(half_life)),
+                );
             }
         }
     }
@@ -150,49 +153,51 @@
     text
 }
 
-/// An answer's page is asked for again after this,
-const ASKED_AGAIN: Duration = Duration::from_millis(200);
-/// ... and given up after this in all.
-const ASKED_MOST: Duration = Duration::from_secs(3);
+/// Time after which a page of the answer is requested again.
+const PAGE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Time limit for the complete answer of a running program.
+const FLEET_QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks a running program for its view of the fleet.
+/// Runs a `fleet` command, which queries a running program.
 ///
 /// # Errors
-/// One line that says what could not be done.
-pub fn on_fleet(command: &Fleet) -> Result<Printed, String> {
-    let Fleet::Show { address, json } = command;
-    let text = ask(*address).map_err(|e| format!("{address}: {e}"))?;
+/// A message of one line for the user.
+pub fn run_fleet_command(command: &FleetCommand) -> Result<CommandOutput, String> {
+    let FleetCommand::Show { address, json } = command;
+    let text = query_fleet_view(*address).map_err(|e| format!("{address}: {e}"))?;
     if *json {
-        return Ok(Printed { text: text + "\n", good: true });
+        return Ok(CommandOutput { text: text + "\n", success: true });
     }
-    let shown: ShownFleet = json::from_str(&text).map_err(|_| format!("{address}: no view of a fleet"))?;
-    Ok(Printed { text: show::table(&shown), good: true })
+    let view: FleetView =
+        json::from_str(&text).map_err(|_| format!("{address}: the answer is not a view of a fleet"))?;
+    Ok(CommandOutput { text: show::table(&view), success: true })
 }
 
-fn ask(address: SocketAddr) -> std::io::Result<String> {
-    let from = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
-    let socket = UdpSocket::bind(from)?;
+/// Requests the fleet view of the program at `address` page by page. Returns it as JSON.
+fn query_fleet_view(address: SocketAddr) -> std::io::Result<String> {
+    let local = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
+    let socket = UdpSocket::bind(local)?;
     socket.connect(address)?;
-    socket.set_read_timeout(Some(ASKED_AGAIN))?;
-    // Pages of two askers at a time must not be mixed up.
+    socket.set_read_timeout(Some(PAGE_RETRY_INTERVAL))?;
+    // Identifies the answers to this request, as another client may query the program at the same time.
     let nonce = u64::from(std::process::id()) << 32 | u64::from(socket.local_addr()?.port());
-    let (mut text, mut page, mut pages) = (Vec::new(), 0, 1);
-    let end = Instant::now() + ASKED_MOST;
+    let (mut text, mut page, mut page_count) = (Vec::new(), 0, 1);
+    let end = Instant::now() + FLEET_QUERY_TIMEOUT;
     let mut buffer = [0; DATAGRAM_MOST];
-    while page < pages {
+    while page < page_count {
         if Instant::now() > end {
             return Err(std::io::Error::new(std::io::ErrorKind::TimedOut, "no answer"));
         }
         let body: Vec<u8> = [nonce, page].iter().flat_map(|n| n.to_be_bytes()).collect();
         socket.send(&wire::seal("", &Identity::at(socket.local_addr()?), Kind::Ask, false, &body))?;
-        let asked = Instant::now();
-        while asked.elapsed() < ASKED_AGAIN {
+        let requested = Instant::now();
+        while requested.elapsed() < PAGE_RETRY_INTERVAL {
             let Ok(length) = socket.recv(&mut buffer) else { continue };
-            let Ok(told) = wire::open("", &buffer[..length]) else { continue };
-            let Some(([n, p, of], part)) = show::read_page(told.body) else { continue };
-            if told.kind == Kind::Told && n == nonce && p == page && of <= show::PAGES_MOST {
+            let Ok(envelope) = wire::open("", &buffer[..length]) else { continue };
+            let Some(([n, p, total], part)) = show::read_page(envelope.body) else { continue };
+            if envelope.kind == Kind::Told && n == nonce && p == page && total <= show::PAGES_MOST {
                 text.extend_from_slice(part);
-                (page, pages) = (page + 1, of);
+                (page, page_count) = (page + 1, total);
                 break;
             }
         }
@@ -200,8 +205,9 @@
     String::from_utf8(text).map_err(|e| std::io::Error::new(std::io::ErrorKind::InvalidData, e))
 }
 
+/// A file in the output of `state verify`.
 #[derive(Serialize)]
-struct ShownFile {
+struct FileRow {
     file: String,
     used: bool,
     fault: Option<String>,
@@ -211,8 +217,9 @@
     hubs: Option<usize>,
 }
 
+/// A hub in the output of `state show`.
 #[derive(Serialize)]
-struct ShownHub {
+struct HubRow {
     uid: String,
     endpoint: String,
     place: i64,
@@ -229,77 +236,80 @@
     silent: bool,
 }
 
+/// The output of `state show`.
 #[derive(Serialize)]
-struct Shown {
+struct StateView {
     file: String,
     at_ms: u64,
     age_s: f64,
     hold_s: f64,
-    hubs: Vec<ShownHub>,
+    hubs: Vec<HubRow>,
 }
 
-fn shown(kept: &LearnedHub) -> ShownHub {
-    let (hub, b) = (&kept.hub, &kept.belief);
-    ShownHub {
+fn hub_row(learned: &LearnedHub) -> HubRow {
+    let (hub, belief) = (&learned.hub, &learned.belief);
+    HubRow {
         uid: hub.uid.to_string(),
         endpoint: hub.endpoint.to_string(),
         place: hub.place,
         born_ms: hub.born.map(|b| b.0 / 1000),
-        carried_per_s: b.carried,
-        carries_per_s: b.carries,
-        can_take_per_s: b.can_take,
-        heard_ms: b.heard.0 / 1000,
-        wait_ms: b.wait.0 as f64 / 1e3,
-        delay_ms: b.delay.0 as f64 / 1e3,
-        weight: b.weight,
-        pass: b.pass,
-        share: b.share,
-        silent: b.silent,
+        carried_per_s: belief.carried,
+        carries_per_s: belief.carries,
+        can_take_per_s: belief.can_take,
+        heard_ms: belief.heard.0 / 1000,
+        wait_ms: belief.wait.0 as f64 / 1e3,
+        delay_ms: belief.delay.0 as f64 / 1e3,
+        weight: belief.weight,
+        pass: belief.pass,
+        share: belief.share,
+        silent: belief.silent,
     }
 }
 
-/// Runs a command on a state folder; `now` is the Unix clock's time.
+/// Runs a `state` command, which works on a state folder. `now` is the time since the Unix epoch.
 ///
 /// # Errors
-/// One line that says what could not be done.
-pub fn on_state(command: &State, now: Micros) -> Result<Printed, String> {
-    let named = |folder: &PathBuf, e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
+/// A message of one line for the user.
+pub fn run_state_command(command: &StateCommand, now: Micros) -> Result<CommandOutput, String> {
+    let error = |folder: &PathBuf, e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
     match command {
-        State::Show { folder, json } => {
-            let files = state::examine(folder).map_err(|e| named(folder, &e))?;
-            let found = files.into_iter().filter(|f| f.used).find_map(|f| Some((f.file, f.read.ok()?.1)));
-            let (file, picture) =
-                found.ok_or_else(|| named(folder, &"nothing that can be used is kept here"))?;
-            Ok(Printed { text: show(file, &picture, now, *json), good: true })
+        StateCommand::Show { folder, json } => {
+            let files = state::check_files(folder).map_err(|e| error(folder, &e))?;
+            let newest =
+                files.into_iter().filter(|f| f.loadable).find_map(|f| Some((f.file, f.content.ok()?.1)));
+            let (file, learned) =
+                newest.ok_or_else(|| error(folder, &"nothing that can be used is kept here"))?;
+            Ok(CommandOutput { text: format_state(file, &learned, now, *json), success: true })
         }
-        State::Verify { folder, json } => {
-            let files = state::examine(folder).map_err(|e| named(folder, &e))?;
-            let good = files.iter().all(|f| !f.used || f.read.is_ok());
-            Ok(Printed { text: verify(files, *json), good })
+        StateCommand::Verify { folder, json } => {
+            let files = state::check_files(folder).map_err(|e| error(folder, &e))?;
+            let success = files.iter().all(|f| !f.loadable || f.content.is_ok());
+            Ok(CommandOutput { text: format_files(files, *json), success })
         }
-        State::Forget { folder } => {
-            // Danger: to take a folder makes a lock in it; a slip of the hand must not do so just anywhere.
+        StateCommand::Forget { folder } => {
+            // Opening a folder creates a lock file in it. A mistyped path must not get one.
             if !folder.join(LOCK).exists() {
-                return Err(named(folder, &"no state folder"));
+                return Err(error(folder, &"no state folder"));
             }
-            state::forget(folder).map_err(|e| named(folder, &e))?;
-            Ok(Printed { text: format!("{}: forgotten\n", folder.display()), good: true })
+            state::forget(folder).map_err(|e| error(folder, &e))?;
+            Ok(CommandOutput { text: format!("{}: forgotten\n", folder.display()), success: true })
         }
     }
 }
 
-fn show(file: String, picture: &LearnedState, now: Micros, as_json: bool) -> String {
-    let age_s = (now.0 as f64 - picture.at.0 as f64) / 1e6;
-    let hubs: Vec<ShownHub> = picture.hubs.iter().map(shown).collect();
-    let shown = Shown { file, at_ms: picture.at.0 / 1000, age_s, hold_s: picture.hold, hubs };
+/// Formats the learned state as a table or as JSON.
+fn format_state(file: String, learned: &LearnedState, now: Micros, as_json: bool) -> String {
+    let age_s = (now.0 as f64 - learned.at.0 as f64) / 1e6;
+    let hubs: Vec<HubRow> = learned.hubs.iter().map(hub_row).collect();
+    let view = StateView { file, at_ms: learned.at.0 / 1000, age_s, hold_s: learned.hold, hubs };
     if as_json {
-        return json::to_string(&shown) + "\n";
+        return json::to_string(&view) + "\n";
     }
     let mut text = format!(
         "{}: {} hubs, {age_s:.1} s old; a call lasts {:.1} s\n",
-        shown.file,
-        shown.hubs.len(),
-        shown.hold_s
+        view.file,
+        view.hubs.len(),
+        view.hold_s
     );
     let _ = writeln!(
         text,
@@ -315,7 +325,7 @@
         "pass",
         "share"
     );
-    for h in &shown.hubs {
+    for h in &view.hubs {
         let _ = writeln!(
             text,
             "{:<20} {:<21} {:>5} {:>9.1} {:>9.1} {:>8.0} {:>8.0} {:>6.2} {:>5.2} {:>5.2}  {}",
@@ -335,41 +345,42 @@
     text
 }
 
-fn verify(files: Vec<Examined>, as_json: bool) -> String {
-    let shown: Vec<ShownFile> = files
+/// Formats the results of the check of each file as text or as JSON.
+fn format_files(files: Vec<CheckedFile>, as_json: bool) -> String {
+    let rows: Vec<FileRow> = files
         .into_iter()
         .map(|f| {
-            let (fault, read) = match f.read {
-                Ok(read) => (None, Some(read)),
+            let (fault, content) = match f.content {
+                Ok(content) => (None, Some(content)),
                 Err(fault) => (Some(fault), None),
             };
-            let (header, picture) = read.unzip();
-            ShownFile {
+            let (header, learned) = content.unzip();
+            FileRow {
                 file: f.file,
-                used: f.used,
+                used: f.loadable,
                 fault,
                 version: header.map(|h| h.version),
                 generation: header.map(|h| h.generation),
-                at_ms: picture.as_ref().map(|p| p.at.0 / 1000),
-                hubs: picture.map(|p| p.hubs.len()),
+                at_ms: learned.as_ref().map(|l| l.at.0 / 1000),
+                hubs: learned.map(|l| l.hubs.len()),
             }
         })
         .collect();
     if as_json {
-        return json::to_string(&shown) + "\n";
+        return json::to_string(&rows) + "\n";
     }
     let mut text = String::new();
-    for f in &shown {
-        let what = match (&f.fault, f.generation, f.version, f.hubs) {
+    for f in &rows {
+        let result = match (&f.fault, f.generation, f.version, f.hubs) {
             (Some(fault), ..) => format!("faulty: {fault}"),
             (None, Some(generation), Some(version), Some(hubs)) => {
                 format!("sound: generation {generation}, version {version}, {hubs} hubs")
             }
             _ => String::new(),
         };
-        let _ = writeln!(text, "{:<18} {}{what}", f.file, if f.used { "" } else { "(set aside) " });
+        let _ = writeln!(text, "{:<18} {}{result}", f.file, if f.used { "" } else { "(set aside) " });
     }
-    if shown.is_empty() {
+    if rows.is_empty() {
         text.push_str("nothing is kept here\n");
     }
     text
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The session controller: wiring and signals only.
+//! The session controller's program: starts its tasks, connects them and handles signals.
 
 #![forbid(unsafe_code)]
 
@@ -21,70 +21,75 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, Duration, Instant};
 
-/// How an IAX2 hub's endpoint begins, towards the core.
-const IAX2: &str = "iax2:";
-/// After SIGTERM callers still come for a while; nothing ends before this.
-const STAY: Duration = Duration::from_millis(800);
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline, but counted as this at most, and
-const DEADLINE_MOST: Duration = Duration::from_secs(3);
-/// ... this together.
-const KILLED_AFTER: Duration = Duration::from_millis(700);
-/// What is still open so long before SIGKILL is refused,
-const REFUSED_BEFORE: Duration = Duration::from_millis(500);
-/// ... and the program ends so long before it, with whatever is not written then.
-const ENDED_BEFORE: Duration = Duration::from_millis(200);
-/// ... and so long before it where deadlines are so short that it would not stay for [`STAY`].
-const ENDED_BEFORE_SHORT: Duration = Duration::from_millis(100);
-/// The program ends once nothing was owed for so long: what came meanwhile, or is under way elsewhere, counts.
-const QUIET: Duration = Duration::from_millis(100);
-/// ... and so many looks found nothing, however long one of them took on a short processor.
-const LOOKS: u32 = 4;
-/// How often it is looked whether anything is owed at the end.
-const OWED_EVERY: Duration = Duration::from_millis(10);
-/// What was learnt is waited for no longer at the end: SIGKILL is near.
-const HAND_OVER: Duration = Duration::from_millis(250);
+/// Prefix of an IAX2 hub's endpoint, as the core passes it on.
+const IAX2_ENDPOINT_PREFIX: &str = "iax2:";
+/// Minimum time from SIGTERM to the end of the process, as callers still connect for a while.
+const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(800);
+/// SIGKILL follows SIGTERM after the longest deadline of a class and [`KILL_DELAY`]. A longer deadline than this counts
+/// as this.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Time from the longest deadline to SIGKILL; see [`MAX_COUNTED_DEADLINE`].
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// Calls still open this long before SIGKILL are refused.
+const REFUSE_BEFORE_KILL: Duration = Duration::from_millis(500);
+/// The process exits at the latest this long before SIGKILL, even if answers are not written yet.
+const EXIT_BEFORE_KILL: Duration = Duration::from_millis(200);
+/// The process exits this long before SIGKILL if the deadlines are too short for both [`EXIT_BEFORE_KILL`] and
+/// [`MIN_SHUTDOWN_TIME`].
+const MIN_EXIT_BEFORE_KILL: Duration = Duration::from_millis(100);
+/// The process exits early once no work was pending for this long. The period lets requests arrive that are still on
+/// their way, and work that is under way elsewhere.
+const MIN_IDLE_TIME: Duration = Duration::from_millis(100);
+/// Minimum number of consecutive checks that find no pending work, as a single check can take long if processor time is
+/// scarce.
+const MIN_IDLE_CHECKS: u32 = 4;
+/// Interval between the checks for pending work during shutdown.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Time limit for writing the learned state at the end, as SIGKILL is near.
+const STATE_SAVE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long after SIGTERM what is left comes to its end.
+/// The steps of a shutdown, as times after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Ending {
-    /// What is still open is refused.
-    refused: Duration,
-    /// The program ends.
-    over: Duration,
+struct ShutdownSchedule {
+    /// When calls that are still open are refused.
+    refuse_after: Duration,
+    /// When the process exits at the latest.
+    exit_after: Duration,
 }
 
-impl Ending {
-    /// In time for the SIGKILL, which comes the sooner the shorter the longest deadline is.
-    fn before_kill(longest: Option<Micros>) -> Ending {
-        let longest = Duration::from_micros(longest.unwrap_or_default().0);
-        let killed = longest.min(DEADLINE_MOST) + KILLED_AFTER;
-        let stay = STAY.min(killed.saturating_sub(ENDED_BEFORE_SHORT));
-        let over = killed.saturating_sub(ENDED_BEFORE).max(stay);
-        Ending { refused: over.saturating_sub(REFUSED_BEFORE - ENDED_BEFORE), over }
+impl ShutdownSchedule {
+    /// Returns the schedule that ends before SIGKILL, whose time depends on the longest deadline of a class.
+    fn before_kill(longest_deadline: Option<Micros>) -> ShutdownSchedule {
+        let deadline = Duration::from_micros(longest_deadline.unwrap_or_default().0);
+        let kill_after = deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
+        let min_exit = MIN_SHUTDOWN_TIME.min(kill_after.saturating_sub(MIN_EXIT_BEFORE_KILL));
+        let exit_after = kill_after.saturating_sub(EXIT_BEFORE_KILL).max(min_exit);
+        let refuse_after = exit_after.saturating_sub(REFUSE_BEFORE_KILL - EXIT_BEFORE_KILL);
+        ShutdownSchedule { refuse_after, exit_after }
     }
 }
 
-fn configured() -> Result<Config, ConfigError> {
+fn read_config() -> Result<Config, ConfigError> {
     Config::from_environment(|name| std::env::var(name).ok())
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command.unwrap_or(Command::Serve) {
+    let result = match Arguments::parse().command.unwrap_or(Command::Serve) {
         Command::Serve => serve(),
-        Command::Check => configured().map_err(|e| e.to_string()).map(|config| {
-            print!("{}", cli::check(&config));
+        Command::Check => read_config().map_err(|e| e.to_string()).map(|config| {
+            print!("{}", cli::describe_config(&config));
             true
         }),
-        Command::Fleet(command) => cli::on_fleet(&command).map(|printed| {
-            print!("{}", printed.text);
-            printed.good
+        Command::Fleet(command) => cli::run_fleet_command(&command).map(|output| {
+            print!("{}", output.text);
+            output.success
         }),
-        Command::State(command) => cli::on_state(&command, Clock::system().now()).map(|printed| {
-            print!("{}", printed.text);
-            printed.good
+        Command::State(command) => cli::run_state_command(&command, Clock::system().now()).map(|output| {
+            print!("{}", output.text);
+            output.success
         }),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
@@ -95,76 +100,87 @@
 }
 
 fn serve() -> Result<bool, String> {
-    let config = configured().map_err(|e| e.to_string())?;
+    let config = read_config().map_err(|e| e.to_string())?;
     telemetry::start(&config.operator.log);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
-    let ended = runtime.block_on(run(config));
-    // Danger: a write that hangs on a disk would keep the program from ending.
+    let result = runtime.block_on(run(config));
+    // A disk write that hangs would otherwise keep the process from exiting.
     runtime.shutdown_background();
-    ended.map(|()| true).map_err(|e| e.to_string())
+    result.map(|()| true).map_err(|e| e.to_string())
 }
 
 async fn run(config: Config) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    // Danger: until it is handled, SIGHUP ends the program, and with it all that is open.
+    // Without a handler SIGHUP would end the process and every open call.
     let hangup = signal(SignalKind::hangup())?;
-    let named = |e: io::Error| io::Error::new(e.kind(), format!("listen: {}: {e}", config.listen));
+    let with_key = |e: io::Error| io::Error::new(e.kind(), format!("listen: {}: {e}", config.listen));
     let socket = if config.listen.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
-    socket.bind(config.listen).map_err(named)?;
-    let listener = socket.listen(1024).map_err(named)?;
-    // With port 0 in the configuration the system has chosen one.
+    socket.bind(config.listen).map_err(with_key)?;
+    let listener = socket.listen(1024).map_err(with_key)?;
+    // If the configured port is 0, the system has chosen one.
     let listen = listener.local_addr()?;
 
     let clock = Clock::system();
     let (inputs, queue) = mpsc::channel(core::INPUT_QUEUE_CAPACITY);
-    let (answers, to_front) = mpsc::channel(core::FRONT_QUEUE_CAPACITY);
-    let (status, watched) = watch::channel(Status::default());
+    let (to_sip_front, sip_messages) = mpsc::channel(core::FRONT_QUEUE_CAPACITY);
+    let (status, status_receiver) = watch::channel(Status::default());
     let operator = &config.operator;
-    let owed = SharedCount::default();
+    let pending_work = SharedCount::default();
     let connect = {
-        let owed = owed.clone();
+        let pending_work = pending_work.clone();
         let (inputs, limits, local) = (inputs.clone(), config.limits.clone(), operator.local());
-        let doors = ConnectionLimit::new(limits.sockets);
-        Box::new(move |link, endpoint: &str| match endpoint.strip_prefix(IAX2).map(str::parse) {
-            Some(Ok(hub)) => iax2::hub::start(link, local, hub, clock, inputs.clone()),
-            _ => hub::start(link, endpoint, limits.clone(), &doors, &owed, clock, inputs.clone()),
+        let connection_limit = ConnectionLimit::new(limits.sockets);
+        Box::new(move |link, endpoint: &str| {
+            match endpoint.strip_prefix(IAX2_ENDPOINT_PREFIX).map(str::parse) {
+                Some(Ok(hub)) => iax2::hub::start(link, local, hub, clock, inputs.clone()),
+                _ => hub::start(
+                    link,
+                    endpoint,
+                    limits.clone(),
+                    &connection_limit,
+                    &pending_work,
+                    clock,
+                    inputs.clone(),
+                ),
+            }
         })
     };
-    let mut fronts = vec![answers];
+    let mut fronts = vec![to_sip_front];
     if let Some(listen) = operator.iax2_listen {
-        let (answers, to_front) = mpsc::channel(core::FRONT_QUEUE_CAPACITY);
-        fronts.push(answers);
-        let named = |e: io::Error| io::Error::new(e.kind(), format!("iax2.listen: {listen}: {e}"));
-        let socket = UdpSocket::bind(listen).await.map_err(named)?;
+        let (to_iax2_front, messages) = mpsc::channel(core::FRONT_QUEUE_CAPACITY);
+        fronts.push(to_iax2_front);
+        let with_key = |e: io::Error| io::Error::new(e.kind(), format!("iax2.listen: {listen}: {e}"));
+        let socket = UdpSocket::bind(listen).await.map_err(with_key)?;
         let front = iax2::front::Front::new(FrontId(1), &operator.iax2_calls);
-        tokio::spawn(iax2::front::run(front, socket, owed.clone(), clock, inputs.clone(), to_front));
+        tokio::spawn(iax2::front::run(front, socket, pending_work.clone(), clock, inputs.clone(), messages));
         tracing::info!(name = config.name, "serving IAX2 at {listen}");
     }
     let mut core = Core::new(&config, fronts, connect, status, clock.now())
         .map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, format!("settings: {e}")))?;
-    let keeping = match &operator.state {
-        Some(state) => Some(keep(state, &mut core, clock).await?),
+    let last_saved = match &operator.state {
+        Some(state) => Some(start_saving_state(state, &mut core, clock).await?),
         None => None,
     };
     let fleet = match &operator.fleet {
         Some(fleet) => {
-            let (figures, latest) = watch::channel(LoadSummary::default());
-            core.publish_load(figures);
-            // Kept alive to the end: who stands in the fleet is for later parts.
-            Some(task::start(fleet, &config.name, config.seed, clock, latest).await?)
+            let (load_sender, load) = watch::channel(LoadSummary::default());
+            core.publish_load(load_sender);
+            // Both channels are held until the end. The member list is not used here yet.
+            Some(task::start(fleet, &config.name, config.seed, clock, load).await?)
         }
         None => None,
     };
     let mut seq = 0;
-    // Danger: a drain that stood in the list of the start was told long before, to another process perhaps.
-    let known = change_log_poller::core_inputs(config.known.clone(), &mut seq, Micros(0));
-    known.into_iter().for_each(|input| core.handle(clock.now(), input));
+    // A drain in the initial list may have been announced long ago, before this process started. Its grace counts from
+    // time zero, so it is over.
+    let initial_lists = change_log_poller::core_inputs(config.known.clone(), &mut seq, Micros(0));
+    initial_lists.into_iter().for_each(|input| core.handle(clock.now(), input));
     let iax2_hub = |h: &Iax2Hub| Hub {
         uid: h.uid.clone(),
-        endpoint: format!("{IAX2}{}", h.address),
+        endpoint: format!("{IAX2_ENDPOINT_PREFIX}{}", h.address),
         place: h.place,
         phase: Phase::Up,
         born: None,
@@ -173,80 +189,89 @@
     tokio::spawn(core::run(core, queue, clock));
     let (change_log, addresses) = watch::channel(config.change_log);
     tokio::spawn(change_log_poller::run(addresses, seq, config.seed, clock, inputs.clone()));
-    tokio::spawn(reload(hangup, change_log));
+    tokio::spawn(reload_on_hangup(hangup, change_log));
     tokio::spawn(metrics::report_periodically());
     let sip_config = sip_server::Config {
         id: FrontId(0),
         sockets: config.limits.sockets,
         clock,
         core: inputs.clone(),
-        status: watched.clone(),
-        owed: owed.clone(),
+        status: status_receiver.clone(),
+        owed: pending_work.clone(),
     };
-    let serving = sip_server::run(sip_config, listener, to_front);
-    let ending = Ending::before_kill(config.settings.classes.iter().map(|c| c.deadline).max());
+    let serving = sip_server::run(sip_config, listener, sip_messages);
+    let schedule = ShutdownSchedule::before_kill(config.settings.classes.iter().map(|c| c.deadline).max());
     tracing::info!(name = config.name, "serving at {listen}");
     let stop = async {
         tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
-        wind_down(inputs.clone(), clock, watched, owed, ending).await;
+        shut_down(inputs.clone(), clock, status_receiver, pending_work, schedule).await;
         if let Some((leave, _)) = &fleet {
             let _ = leave.send(()).await;
             leave.closed().await;
         }
-        if let Some(saved) = keeping {
-            hand_over(inputs, clock, saved).await;
+        if let Some(last_saved) = last_saved {
+            save_final_state(inputs, clock, last_saved).await;
         }
         metrics::report();
     };
     tokio::select! {
-        ended = serving => ended,
+        result = serving => result,
         () = stop => Ok(()),
     }
 }
 
-/// Recalls what was kept, and has what is learnt from now on kept.
-async fn keep(state: &StateConfig, core: &mut Core, clock: Clock) -> io::Result<watch::Receiver<Micros>> {
-    let kept = state::load(state, clock.now()).await;
-    let mut kept = kept.map_err(|e| {
+/// Restores the saved state into the core and starts the task that saves the learned state from now on. The returned
+/// channel holds the time of the last state that was saved.
+async fn start_saving_state(
+    state: &StateConfig,
+    core: &mut Core,
+    clock: Clock,
+) -> io::Result<watch::Receiver<Micros>> {
+    let startup = state::load(state, clock.now()).await;
+    let mut startup = startup.map_err(|e| {
         io::Error::new(
             io::ErrorKind::InvalidInput,
             format!("state.folder: '{}': {e}", state.folder.display()),
         )
     })?;
-    if let Some(memory) = kept.memory.take() {
-        core.restore(memory);
+    if let Some(restored) = startup.restored.take() {
+        core.restore(restored);
     }
-    let (pictures, latest) = watch::channel(None);
-    core.export_state(pictures, state.interval, clock.now());
-    let (saved, last) = watch::channel(Micros(0));
-    tokio::spawn(state::run(kept, latest, saved));
-    Ok(last)
+    let (learned, latest) = watch::channel(None);
+    core.export_state(learned, state.interval, clock.now());
+    let (saved_at, last_saved) = watch::channel(Micros(0));
+    tokio::spawn(state::run(startup, latest, saved_at));
+    Ok(last_saved)
 }
 
-/// Has what is known at a planned end written, within a bounded time.
-async fn hand_over(inputs: mpsc::Sender<Input>, clock: Clock, mut saved: watch::Receiver<Micros>) {
-    let from = clock.now();
+/// Saves the learned state at a planned end, within a bounded time.
+async fn save_final_state(
+    inputs: mpsc::Sender<Input>,
+    clock: Clock,
+    mut last_saved: watch::Receiver<Micros>,
+) {
+    let requested_at = clock.now();
     if inputs.send(Input::ExportState).await.is_ok() {
-        let written = saved.wait_for(|at| *at >= from);
-        if tokio::time::timeout(HAND_OVER, written).await.is_err() {
-            tracing::warn!("state: the last of what was learnt is not written in time");
+        let written = last_saved.wait_for(|at| *at >= requested_at);
+        if tokio::time::timeout(STATE_SAVE_TIMEOUT, written).await.is_err() {
+            tracing::warn!("state: the final learned state was not written in time");
         }
     }
 }
 
-/// Takes up the change log's address at each SIGHUP; all else of the configuration is read at the start
-/// alone, as open calls rest on it. A configuration that cannot be used changes nothing.
-async fn reload(mut hangup: Signal, change_log: watch::Sender<Option<SocketAddr>>) {
+/// Reloads the change log's address at each SIGHUP. Everything else in the configuration is read at the start only,
+/// because open calls depend on it. An invalid configuration changes nothing.
+async fn reload_on_hangup(mut hangup: Signal, change_log: watch::Sender<Option<SocketAddr>>) {
     while hangup.recv().await.is_some() {
-        match configured() {
+        match read_config() {
             Ok(config) => {
-                let moved = change_log.send_if_modified(|held| {
-                    let other = *held != config.change_log;
-                    *held = config.change_log;
-                    other
+                let changed = change_log.send_if_modified(|current| {
+                    let differs = *current != config.change_log;
+                    *current = config.change_log;
+                    differs
                 });
                 let address = config.change_log.map_or("nowhere".into(), |a| a.to_string());
-                let what = if moved { "now" } else { "still" };
+                let what = if changed { "now" } else { "still" };
                 tracing::info!("reloaded: change log {what} at {address}");
             }
             Err(error) => tracing::warn!("not reloaded: {error}"),
@@ -254,32 +279,33 @@
     }
 }
 
-/// Answers all that is open while callers still come, and ends as soon as nothing is owed.
-async fn wind_down(
+/// Lets open calls be answered while callers still connect, and returns as soon as no work is pending, at the latest
+/// as the schedule says.
+async fn shut_down(
     inputs: mpsc::Sender<Input>,
     clock: Clock,
     status: watch::Receiver<Status>,
-    owed: SharedCount,
-    ending: Ending,
+    pending_work: SharedCount,
+    schedule: ShutdownSchedule,
 ) {
     tracing::info!("ending");
-    let end = Instant::now() + ending.over;
-    let by = clock.now() + Micros(ending.refused.as_micros() as u64);
-    let _ = inputs.send(Input::Shutdown(by)).await;
-    sleep(STAY.min(ending.over)).await;
-    // Danger: an answer that the core has given is not one that the caller has: where the processor is short
-    // it may still wait to be written, and would be lost. So would a request that waits in a socket: what is
-    // there is read between two looks, and one look that finds nothing proves little.
-    let (mut quiet, mut looks) = (Instant::now(), 0);
-    while Instant::now() < end && (quiet.elapsed() < QUIET || looks < LOOKS) {
-        sleep(OWED_EVERY).await;
-        looks += 1;
-        if status.borrow().unanswered > 0 || owed.count() > 0 {
-            (quiet, looks) = (Instant::now(), 0);
+    let end = Instant::now() + schedule.exit_after;
+    let refuse_at = clock.now() + Micros(schedule.refuse_after.as_micros() as u64);
+    let _ = inputs.send(Input::Shutdown(refuse_at)).await;
+    sleep(MIN_SHUTDOWN_TIME.min(schedule.exit_after)).await;
+    // An answer that the core has given may still wait to be written if processor time is scarce, and a request may
+    // still wait in a socket; ending now would lose both. Sockets are read between two checks, so a single check that
+    // finds nothing proves little.
+    let (mut idle_since, mut idle_checks) = (Instant::now(), 0);
+    while Instant::now() < end && (idle_since.elapsed() < MIN_IDLE_TIME || idle_checks < MIN_IDLE_CHECKS) {
+        sleep(IDLE_CHECK_INTERVAL).await;
+        idle_checks += 1;
+        if status.borrow().unanswered > 0 || pending_work.count() > 0 {
+            (idle_since, idle_checks) = (Instant::now(), 0);
         }
     }
     let unanswered = status.borrow().unanswered;
-    tracing::info!(unanswered, outstanding = owed.count(), "ended");
+    tracing::info!(unanswered, outstanding = pending_work.count(), "ended");
 }
 
 #[cfg(test)]
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,9 +1,8 @@
-//! The task that gives [`learning`] its disk: reads at the start, writes while the program
-//! runs, and never lets anyone wait for either.
+//! Saves the state of [`learning`] to disk while the program runs, and loads it at the start.
 //!
-//! Whatever the disk does is done on a thread of its own. Pictures come through a watch, so that the latest
-//! wins while a slow disk is busy. A disk that fails is tried again after a pause that doubles; it is said once
-//! when it begins and once when it ends.
+//! Disk access runs on the blocking thread pool, so that no other task waits for it. States to save come through a
+//! watch channel: while a slow disk is busy, only the latest is retained. Failed writes are retried after a delay that
+//! doubles. The log has one message when writes begin to fail and one when they work again.
 
 use crate::config::StateConfig;
 use crate::interface::Micros;
@@ -16,194 +15,209 @@
 use tokio::task::{spawn_blocking, JoinHandle};
 use tokio::time::{sleep, timeout, Duration};
 
-/// The name of the file with what was learnt.
-pub const LEARNING: &str = "learning";
-/// A start waits no longer for its disk, and goes without what was kept.
-const LOAD_MOST: Duration = Duration::from_millis(500);
-/// A disk that fails is tried again after this, then after twice that,
-const RETRY: Duration = Duration::from_secs(1);
-/// ... up to this.
-const RETRY_MOST: Duration = Duration::from_secs(60);
+/// Name of the file with the learned state.
+pub const LEARNED_STATE_FILE: &str = "learning";
+/// Time limit for loading the state. When it is over, the program starts without the state.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay before the first retry after a failed write; it doubles with each further failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum delay between retries after failed writes.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(60);
 
-/// The snapshots of what was learnt.
+/// Returns the snapshot files of the learned state.
 pub fn snapshots() -> Snapshots {
-    Snapshots::new(LEARNING, learning::KIND)
+    Snapshots::new(LEARNED_STATE_FILE, learning::KIND)
 }
 
-/// Reads a payload, as [`Snapshots::load`] wants it.
-pub fn accept(header: Header, payload: &[u8]) -> Result<LearnedState, String> {
+/// Decodes the payload of a snapshot, in the form that [`Snapshots::load`] expects.
+///
+/// # Errors
+/// The payload's version is unknown or its content is not valid.
+pub fn decode_payload(header: Header, payload: &[u8]) -> Result<LearnedState, String> {
     learning::decode(header.version, payload)
 }
 
-/// The state folder with the file in it.
-struct Keeper {
+/// Reads and writes the snapshots in the state folder.
+struct StateStore {
     path: PathBuf,
-    disk: Option<Folder>,
+    /// The open folder; `None` until it could be opened.
+    folder: Option<Folder>,
     snapshots: Snapshots,
 }
 
-impl Keeper {
-    fn new(path: &Path) -> Keeper {
-        Keeper { path: path.into(), disk: None, snapshots: snapshots() }
+impl StateStore {
+    fn new(path: &Path) -> StateStore {
+        StateStore { path: path.into(), folder: None, snapshots: snapshots() }
     }
 
-    /// Takes the folder, if it is not had yet, and reads what is there.
-    fn open(&mut self) -> Opened {
-        if self.disk.is_some() {
+    /// Opens the folder and loads its state, unless it is open already.
+    fn open(&mut self) -> OpenResult {
+        if self.folder.is_some() {
             return Ok(None);
         }
-        let disk = self.disk.insert(Folder::open(&self.path)?);
-        let loaded = self.snapshots.load(disk, accept);
+        let folder = self.folder.insert(Folder::open(&self.path)?);
+        let loaded = self.snapshots.load(folder, decode_payload);
         for aside in &loaded.aside {
-            let to = aside.to.as_deref().unwrap_or("its own name, as it cannot be renamed");
+            let to = aside.to.as_deref().unwrap_or("its own name, because it cannot be renamed");
             tracing::warn!(file = %aside.file, "state: {}; set aside as {to}", aside.fault);
         }
         Ok(Some(loaded))
     }
 
-    fn save(&mut self, picture: &LearnedState) -> Result<(), OpenError> {
-        // A folder that was not to be had at the start may be there by now; what it holds is old.
+    fn save(&mut self, learned: &LearnedState) -> Result<(), OpenError> {
+        // A folder that could not be opened at the start may have become available. Its state is ignored, as it is
+        // older than the current one.
         self.open()?;
-        let Some(disk) = &mut self.disk else { return Ok(()) };
-        let payload = learning::encode(picture);
-        self.snapshots.save(disk, learning::VERSION, &payload)?;
+        let Some(folder) = &mut self.folder else { return Ok(()) };
+        let payload = learning::encode(learned);
+        self.snapshots.save(folder, learning::VERSION, &payload)?;
         Ok(())
     }
 }
 
-/// What the start found, and the task that goes on from there.
-pub struct Kept {
-    /// What may be recalled.
-    pub memory: Option<RestoredState>,
-    keeper: Opening,
+/// The result of loading the state, for [`run`] to continue with.
+pub struct StartupState {
+    /// The state to restore, if there is any.
+    pub restored: Option<RestoredState>,
+    store: StoreOpening,
 }
 
-/// What was found, once: `None` where the folder was had before.
-type Opened = Result<Option<Loaded<LearnedState>>, OpenError>;
+/// The loaded state, or `None` if the folder was open already.
+type OpenResult = Result<Option<Loaded<LearnedState>>, OpenError>;
 
-enum Opening {
-    Done(Keeper),
-    Late(JoinHandle<(Keeper, Opened)>),
+/// Progress of opening the store at the start.
+enum StoreOpening {
+    Done(StateStore),
+    /// The disk did not answer within [`LOAD_TIMEOUT`].
+    Pending(JoinHandle<(StateStore, OpenResult)>),
 }
 
-/// Reads what was kept, within a bounded time.
+/// Loads the saved state within a bounded time.
 ///
 /// # Errors
-/// The folder is in use by another process. Every other fault is logged, and the program runs without.
-pub async fn load(state: &StateConfig, now: Micros) -> Result<Kept, OpenError> {
-    let mut keeper = Keeper::new(&state.folder);
+/// The folder is in use by another process, or the loading thread failed. Every other fault is logged, and the program
+/// starts without saved state.
+pub async fn load(state: &StateConfig, now: Micros) -> Result<StartupState, OpenError> {
+    let mut store = StateStore::new(&state.folder);
     let folder = state.folder.display();
     let mut opening = spawn_blocking(move || {
-        let opened = keeper.open();
-        (keeper, opened)
+        let opened = store.open();
+        (store, opened)
     });
-    let Ok(opened) = timeout(LOAD_MOST, &mut opening).await else {
-        tracing::warn!("state: {folder}: not read within {LOAD_MOST:?}; starting without it");
-        return Ok(Kept { memory: None, keeper: Opening::Late(opening) });
+    let Ok(opened) = timeout(LOAD_TIMEOUT, &mut opening).await else {
+        tracing::warn!("state: {folder}: not read within {LOAD_TIMEOUT:?}; starting without it");
+        return Ok(StartupState { restored: None, store: StoreOpening::Pending(opening) });
     };
-    let (keeper, loaded) = opened.map_err(|e| OpenError::Io(io::Error::other(e)))?;
-    let memory = match loaded {
-        Ok(loaded) => loaded.and_then(|loaded| take_up(loaded, state, now)),
+    let (store, loaded) = opened.map_err(|e| OpenError::Io(io::Error::other(e)))?;
+    let restored = match loaded {
+        Ok(loaded) => loaded.and_then(|loaded| restore(loaded, state, now)),
         Err(OpenError::InUse) => return Err(OpenError::InUse),
         Err(error) => {
             tracing::warn!("state: {folder}: {error}; starting without it");
             None
         }
     };
-    Ok(Kept { memory, keeper: Opening::Done(keeper) })
+    Ok(StartupState { restored, store: StoreOpening::Done(store) })
 }
 
-fn take_up(loaded: Loaded<LearnedState>, state: &StateConfig, now: Micros) -> Option<RestoredState> {
-    let picture = loaded.found?;
-    let age = (now - picture.at).secs();
-    let (memory, taken) = RestoredState::new(picture, state.decay.clone(), now);
-    let what = match (taken.from_future, taken.too_old) {
-        (true, _) => "none used: it claims to be from the future",
-        (_, true) => "none used: it is too old",
+/// Prepares the loaded state for restoring and logs how much of it is used.
+fn restore(loaded: Loaded<LearnedState>, state: &StateConfig, now: Micros) -> Option<RestoredState> {
+    let learned = loaded.found?;
+    let age = (now - learned.at).secs();
+    let (restored, summary) = RestoredState::new(learned, state.decay.clone(), now);
+    let what = match (summary.from_future, summary.too_old) {
+        (true, _) => "not used: its time lies in the future",
+        (_, true) => "not used: it is too old",
         _ => "recalled",
     };
     let fallback = loaded.fallback;
-    tracing::info!(hubs = taken.hubs, dropped = taken.dropped, age, fallback, "state: {what}");
-    Some(memory)
+    tracing::info!(hubs = summary.hubs, dropped = summary.dropped, age, fallback, "state: {what}");
+    Some(restored)
 }
 
-/// Writes each picture that comes, the latest first, until no more can come. `saved` tells the time of the
-/// last one that lasts.
+/// Saves the latest state from `updates` whenever it changes, until the sender is dropped. `saved_at` receives the time
+/// of each state that was written to disk.
 pub async fn run(
-    kept: Kept,
-    mut pictures: watch::Receiver<Option<Arc<LearnedState>>>,
-    saved: watch::Sender<Micros>,
+    startup: StartupState,
+    mut updates: watch::Receiver<Option<Arc<LearnedState>>>,
+    saved_at: watch::Sender<Micros>,
 ) {
-    let mut keeper = match kept.keeper {
-        Opening::Done(keeper) => keeper,
-        // The disk was slow at the start: it is waited for here, where nobody minds.
-        Opening::Late(opening) => match opening.await {
-            Ok((keeper, _)) => keeper,
+    let mut store = match startup.store {
+        StoreOpening::Done(store) => store,
+        // The disk was slow at the start. Waiting for it here delays nothing else.
+        StoreOpening::Pending(opening) => match opening.await {
+            Ok((store, _)) => store,
             Err(_) => return,
         },
     };
-    let mut pause = None;
-    while pictures.changed().await.is_ok() {
-        let Some(picture) = pictures.borrow_and_update().clone() else { continue };
-        let at = picture.at;
+    let mut retry_delay = None;
+    while updates.changed().await.is_ok() {
+        let Some(learned) = updates.borrow_and_update().clone() else { continue };
+        let at = learned.at;
         let writing = spawn_blocking(move || {
-            let done = keeper.save(&picture);
-            (keeper, done)
+            let result = store.save(&learned);
+            (store, result)
         });
-        let Ok((back, done)) = writing.await else { return };
-        keeper = back;
-        match done {
+        let Ok((returned_store, result)) = writing.await else { return };
+        store = returned_store;
+        match result {
             Ok(()) => {
-                if pause.take().is_some() {
+                if retry_delay.take().is_some() {
                     tracing::info!("state: kept again");
                 }
-                saved.send_replace(at);
+                saved_at.send_replace(at);
             }
             Err(failure) => {
-                if pause.is_none() {
-                    tracing::warn!("state: not kept: {failure}; calls go on, and it is tried again");
+                if retry_delay.is_none() {
+                    tracing::warn!("state: not kept: {failure}; calls continue, and the write is retried");
                 }
-                let wait = pause.map_or(RETRY, |p: Duration| (p * 2).min(RETRY_MOST));
-                pause = Some(wait);
-                sleep(wait).await;
+                let delay = retry_delay.map_or(MIN_RETRY_DELAY, |d: Duration| (d * 2).min(MAX_RETRY_DELAY));
+                retry_delay = Some(delay);
+                sleep(delay).await;
             }
         }
     }
 }
 
-/// Removes what was learnt from a folder that no process has.
+/// Removes the learned state from a folder that no process uses.
+///
+/// # Errors
+/// The folder is in use by another process or cannot be changed.
 pub fn forget(path: &Path) -> Result<(), OpenError> {
     let mut folder = Folder::open(path)?;
     Ok(snapshots().forget(&mut folder)?)
 }
 
-/// The files that may hold what was learnt, with what each is worth, changing nothing.
-pub fn examine(path: &Path) -> io::Result<Vec<Examined>> {
+/// Checks every file that may hold learned state, including those that were set aside. Changes no file.
+///
+/// # Errors
+/// The folder cannot be read.
+pub fn check_files(path: &Path) -> io::Result<Vec<CheckedFile>> {
     let mut folder = Folder::look(path)?;
     let snapshots = snapshots();
-    let in_use = snapshots.files();
-    let mut names = folder.names()?;
-    names.retain(|n| n.starts_with(&format!("{LEARNING}.bad-")));
-    names.sort();
-    let mut examined = Vec::new();
-    for (nth, file) in in_use.into_iter().chain(names).enumerate() {
-        let read = snapshots.check(&mut folder, &file, &mut accept);
-        examined.extend(read.map(|read| Examined {
+    let loadable = snapshots.files();
+    let mut set_aside = folder.names()?;
+    set_aside.retain(|n| n.starts_with(&format!("{LEARNED_STATE_FILE}.bad-")));
+    set_aside.sort();
+    let mut checked = Vec::new();
+    for (nth, file) in loadable.into_iter().chain(set_aside).enumerate() {
+        let read = snapshots.check(&mut folder, &file, &mut decode_payload);
+        checked.extend(read.map(|read| CheckedFile {
             file,
-            used: nth < 2,
-            read: read.map_err(|f| f.to_string()),
+            loadable: nth < 2,
+            content: read.map_err(|f| f.to_string()),
         }));
     }
-    Ok(examined)
+    Ok(checked)
 }
 
-/// One file of a state folder.
+/// A file of a state folder and the result of its check.
 #[derive(Debug)]
-pub struct Examined {
+pub struct CheckedFile {
     /// Its name.
     pub file: String,
-    /// A start would look at it; else it was set aside.
-    pub used: bool,
-    /// What it holds, or what is wrong with it.
-    pub read: Result<(Header, LearnedState), String>,
+    /// Whether a start tries to load it. Other files were set aside because they were faulty.
+    pub loadable: bool,
+    /// Its content, or why it cannot be used.
+    pub content: Result<(Header, LearnedState), String>,
 }
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -1,9 +1,9 @@
-//! Logs: one subscriber for the whole program, on standard error.
+//! Installs the log subscriber of the program, which writes to standard error.
 
 use crate::config::{LogConfig, LogLevel};
 use tracing::level_filters::LevelFilter;
 
-/// Starts logging; a second call changes nothing.
+/// Installs the subscriber. Has no effect if one is installed already.
 pub fn start(log: &LogConfig) {
     let level = match log.level {
         LogLevel::Error => LevelFilter::ERROR,
@@ -11,11 +11,11 @@
         LogLevel::Info => LevelFilter::INFO,
         LogLevel::Debug => LevelFilter::DEBUG,
     };
-    let form =
+    let builder =
         tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_target(false);
-    // Tests of the library may have one of their own.
+    // An error means that a subscriber is installed, as library tests may have done.
     let _ = match log.json {
-        true => form.json().try_init(),
-        false => form.with_ansi(false).try_init(),
+        true => builder.json().try_init(),
+        false => builder.with_ansi(false).try_init(),
     };
 }
