--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,17 @@
-//! A session controller that stands before shared table hubs.
+//! A session controller that routes calls from callers to shared table hubs.
 //!
-//! - [`interface`] and [`Controller`]: the decision module, used by both programs.
-//! - [`core`]: owns the module, the call table and the timers, and knows no wire.
-//! - [`net`] and [`iax2`]: the sockets' sides, for the platform's protocol and for IAX2.
-//! - [`learning`], [`state`] and [`store`]: what outlives the process, the task that keeps it, and its files.
-//! - [`cli`], [`telemetry`] and [`metrics`]: the command line, the logs, and the counters in them.
-//! - [`fleet`]: what session controllers tell one another, where an installation lets them talk.
-//! - [`config`]: the one place where configuration is read, checked and given defaults.
-//! - [`wire`]: the simulator's wire, for the adapter.
+//! - [`interface`] and [`Controller`]: the decision module, shared by the program and the simulator's adapter.
+//! - [`core`]: owns the decision module, the call table and the timers, and is independent of protocols.
+//! - [`net`] and [`iax2`]: the platform's network protocols (SIP, a binary protocol, HTTP), and IAX2.
+//! - [`learning`], [`state`] and [`store`]: the state saved across restarts, the task that saves it, and its files.
+//! - [`recovery`]: the record of calls in progress, from which a process recovers them after a restart.
+//! - [`fleet`]: the protocol between session controllers of an installation.
+//! - [`config`]: reads and validates all configuration and applies defaults.
+//! - [`cli`], [`telemetry`] and [`metrics`]: the command line, the logs, and the counters in the logs.
+//! - [`simulator_protocol`]: the simulator's text protocol, for the adapter.
 //!
-//! A [`Controller`] is told what happens and says what to do. It reads no clock, does no I/O
-//! and starts no thread: time comes in with each event.
+//! A [`Controller`] handles events and returns actions. It reads no clock, does no I/O and starts no thread: the time
+//! comes with each event.
 //!
 //! ```
 //! use petreldock::interface::*;
@@ -29,14 +30,14 @@
 //!     own_place: None,
 //! };
 //! let mut actions = Vec::new();
-//! let mut gateway = Controller::new(settings, 7, Micros(0))?;
+//! let mut controller = Controller::new(settings, 7, Micros(0))?;
 //! let entry = Entry { server: ServerId(40), place: 0, phase: Phase::Up, born: None, phase_since: None };
-//! gateway.handle(Micros(0), Event::List(ListKind::Saved, vec![entry]), &mut actions);
+//! controller.handle(Micros(0), Event::List(ListKind::Saved, vec![entry]), &mut actions);
 //! let call = NewCall {
 //!     id: CallId(1), class: 0, place: 0, number: None, deadline: Micros(3_000_000),
 //!     repeat: false, returned: false, transit: false,
 //! };
-//! gateway.handle(Micros(10), Event::Call(call), &mut actions);
+//! controller.handle(Micros(10), Event::Call(call), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send(CallId(1), ServerId(40), _))));
 //! # Ok::<(), SettingsError>(())
 //! ```
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,4 +1,4 @@
-//! The started program over sockets: what callers, hubs and the change log see of it.
+//! Tests of the running program from the outside, with callers, hubs and a change log over sockets.
 
 #[path = "common/peers.rs"]
 mod peers;
@@ -25,58 +25,58 @@
 }
 
 #[test]
-fn served_and_released_on_any_connection() {
+fn calls_are_answered_and_released_on_any_connection() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::Answer, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
     let mut first = Caller::connect(program.address);
     first.invite(0xa1, 3000, 0);
     let (code, _, body) = first.answer(0xa1).expect("an answer");
-    assert_eq!((code, &body[..]), (200, HUB_BODY), "the hub's description, unchanged");
-    // The caller hangs up on another connection.
+    assert_eq!((code, &body[..]), (200, HUB_BODY), "the hub's description is unchanged");
+    // A BYE may come on another connection than its INVITE.
     let mut second = Caller::connect(program.address);
     second.send("BYE", 0xa1, "Reason: Q.850;cause=31\r\n", b"");
     hub.wait_for(0xa1, Seen::Release(31));
-    second.wait_for("BYE is heard", |s| matches!(s, Said::Other(0xa1, m, 200) if m == "BYE"));
-    // The hub ends one whose connection is gone: its release comes on the other.
+    second.wait_for("the BYE is answered", |s| matches!(s, Said::Other(0xa1, m, 200) if m == "BYE"));
+    // The hub ends a call whose connection was closed: the release is sent on another connection.
     first.invite(0xa2, 3000, 0);
     assert_eq!(status(&mut first, 0xa2), 200);
     drop(first);
     hub.send(kind::RELEASE, 0xa2, &[(code::CAUSE, &[16])]);
     second.wait_for("the release", |s| *s == Said::Bye(0xa2, 16));
-    // ... and with no connection open, on the next one.
+    // While no connection is open, a release waits for the next one.
     second.invite(0xa3, 3000, 0);
     assert_eq!(status(&mut second, 0xa3), 200);
     drop(second);
     hub.send(kind::RELEASE, 0xa3, &[(code::CAUSE, &[41])]);
     let mut third = Caller::connect(program.address);
-    third.wait_for("the parked release", |s| *s == Said::Bye(0xa3, 41));
-    // A release of a call from before the start is passed on as well.
+    third.wait_for("the waiting release", |s| *s == Said::Bye(0xa3, 41));
+    // A release of a call from before the start is passed on too.
     hub.send(kind::RELEASE, 0xbeef, &[(code::CAUSE, &[16])]);
-    third.wait_for("an unknown call's release", |s| *s == Said::Bye(0xbeef, 16));
+    third.wait_for("the release of an unknown call", |s| *s == Said::Bye(0xbeef, 16));
 }
 
 #[test]
-fn refused_with_when_to_come_back() {
+fn full_hubs_give_503_with_a_retry_time() {
     let record = Record::default();
     let hubs = [Hub::start(0, Manner::Full, &record), Hub::start(1, Manner::Full, &record)];
     let program = Program::start(&targets(&[&hubs[0], &hubs[1]]), None, None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0xb1, 3000, 0);
-    let (code, away, _) = caller.answer(0xb1).expect("an answer");
+    let (code, retry_after_ms, _) = caller.answer(0xb1).expect("an answer");
     assert_eq!(code, 503);
-    assert!(away.is_some_and(|ms| ms > 0 && ms <= 2000), "{away:?}");
-    assert!(hubs.iter().all(|h| h.seen(0xb1) == [Seen::SetUp, Seen::Refused]), "each is asked once");
+    assert!(retry_after_ms.is_some_and(|ms| ms > 0 && ms <= 2000), "{retry_after_ms:?}");
+    assert!(hubs.iter().all(|h| h.seen(0xb1) == [Seen::SetUp, Seen::Refused]), "each hub gets one set-up");
     caller.invite(0xb2, 3000, 0);
     hubs[1].set(Manner::Answer);
     status(&mut caller, 0xb2);
 }
 
 #[test]
-fn cancelled_while_its_set_up_waits() {
+fn cancel_bye_and_lost_connection_withdraw_a_set_up() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::Silent, &record);
-    // A silent hub is soon sent little: what comes later has another as its first choice.
+    // A silent hub soon gets few calls, so that later calls name another hub's place.
     let other = Hub::start(1, Manner::Silent, &record);
     let program = Program::start(&targets(&[&hub, &other]), None, None);
     let mut caller = Caller::connect(program.address);
@@ -85,22 +85,22 @@
     caller.send("CANCEL", 0xc1, "", b"");
     assert_eq!(status(&mut caller, 0xc1), 487);
     hub.wait_for(0xc1, Seen::Release(16));
-    // The hub's answer crosses: it is released, and the caller hears nothing more.
+    // An answer of the hub that crosses the CANCEL is released, and the caller gets no second final response.
     hub.send(kind::ANSWER, 0xc1, &[(code::DESCRIPTION, b"late")]);
     until("the late answer is released", || {
         (hub.seen(0xc1).iter().filter(|s| **s == Seen::Release(16)).count() == 2).then_some(())
     });
     caller.send("CANCEL", 0xc1, "", b"");
-    caller.wait_for("no such set-up", |s| matches!(s, Said::Other(0xc1, _, 481)));
+    caller.wait_for("481 for a set-up that has ended", |s| matches!(s, Said::Other(0xc1, _, 481)));
     let finals = caller.said.iter().filter(|s| matches!(s, Said::Answer(0xc1, ..))).count();
     assert_eq!(finals, 1);
-    // So does a BYE before the answer.
+    // A BYE before the answer withdraws the set-up too.
     caller.invite(0xc3, 3000, 1);
     other.wait_for(0xc3, Seen::SetUp);
     caller.send("BYE", 0xc3, "", b"");
     assert_eq!(status(&mut caller, 0xc3), 487);
     other.wait_for(0xc3, Seen::Release(16));
-    // A lost connection withdraws its set-ups too.
+    // A lost connection withdraws its set-ups.
     caller.invite(0xc2, 3000, 1);
     other.wait_for(0xc2, Seen::SetUp);
     drop(caller);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_reset_waits_the_pause_out_and_a_dead_hub_ends_what_stood() {
+fn retry_after_a_reset_is_delayed_and_a_dead_hub_releases_its_calls() {
     let record = Record::default();
     let other = Hub::start(0, Manner::Reset, &record);
     let hub = Hub::start(1, Manner::Answer, &record);
@@ -120,7 +120,7 @@
     let at = |seen| record.iter().filter(|e| e.3 == seen).map(|e| e.0).max().expect("seen");
     assert_eq!(hub.seen(0xd1), [Seen::SetUp, Seen::Answered]);
     assert!(at(Seen::SetUp) - at(Seen::Reset) >= Duration::from_millis(200), "{record:?}");
-    // A lost connection alone ends no call that stands.
+    // A lost connection alone ends no established call.
     hub.close_connections();
     until("the link is up again", || (!hub.connections.lock().expect("lock").is_empty()).then_some(()));
     caller.invite(0xd2, 3000, 1);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_silent_hub_costs_a_refusal_in_time() {
+fn silent_hub_leads_to_a_refusal_and_a_release() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::Silent, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
@@ -146,10 +146,11 @@
 }
 
 #[test]
-fn a_drain_in_the_change_log_moves_calls_away() {
+fn change_log_drain_moves_calls_to_another_hub() {
     let record = Record::default();
     let hubs = [Hub::start(0, Manner::Answer, &record), Hub::start(1, Manner::Answer, &record)];
-    // Each answer closes the connection: the poller must come back, and from where it was.
+    // The change log closes the connection after each answer. The poller must reconnect and continue after the last
+    // event.
     let log = ChangeLog::start(1);
     let program = Program::start(&targets(&[&hubs[0], &hubs[1]]), Some(log.address), None);
     let mut caller = Caller::connect(program.address);
@@ -161,26 +162,27 @@
     let before = log.polls.lock().expect("lock").len();
     std::thread::sleep(Duration::from_millis(2100));
     let polls = log.polls.lock().expect("lock").len() - before;
-    assert!(polls >= 12, "a log that closes after each answer is asked on, without gaps: {polls} polls");
+    assert!(polls >= 12, "polling continues without gaps after each closed connection: {polls} polls");
     let drained = Instant::now();
     for call in 0xf1..0xf9 {
         caller.invite(call, 3000, 0);
         status(&mut caller, call);
     }
-    let late = record.lock().expect("lock").iter().any(|e| e.0 > drained && e.2 == 0 && e.3 == Seen::SetUp);
-    assert!(!late, "nothing new after the drain's grace");
+    let sent_late =
+        record.lock().expect("lock").iter().any(|e| e.0 > drained && e.2 == 0 && e.3 == Seen::SetUp);
+    assert!(!sent_late, "no set-up after the grace period of the drain");
     assert!((0xf1..0xf9).any(|c| hubs[1].seen(c).contains(&Seen::Answered)));
     log.tell(&[site::target("s-0", &hubs[0].address.to_string(), 0, "terminated")]);
-    caller.wait_for("what stood there is released", |s| *s == Said::Bye(0xf0, 41));
+    caller.wait_for("the call on the terminated hub is released", |s| *s == Said::Bye(0xf0, 41));
     let polls = log.polls.lock().expect("lock").clone();
     assert!(polls.windows(2).all(|w| w[0] <= w[1]) && polls[0] == 1, "without gaps: {polls:?}");
 }
 
 #[test]
-fn sighup_moves_the_poller_and_disturbs_no_call() {
+fn sighup_changes_the_polled_address_and_interrupts_no_call() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::AnswerAfter(Duration::from_millis(300)), &record);
-    // The first log has told event 2 and then goes silent, with its connection open.
+    // The first change log sends event 2 and then nothing more, while its connection stays open.
     let (old, new) = (ChangeLog::start(1000), ChangeLog::start(1000));
     let mut program = Program::start(&targets(&[&hub]), Some(old.address), None);
     let moved = [Hub::start(2, Manner::Answer, &record), Hub::start(1, Manner::Answer, &record)];
@@ -193,27 +195,27 @@
     caller.invite(0x51, 3000, 0);
     hub.wait_for(0x51, Seen::SetUp);
     let address = |log: &ChangeLog| format!("{:?}", log.address.to_string());
-    let (from, to) = (address(&old), address(&new));
-    let (sound, nought) = ("\"balancers\":1", "\"balancers\":0");
-    let wrong = "not reloaded: settings: balancers must be at least 1";
-    program.reload(|text| text.replace(sound, nought).replace(&from, &to), wrong);
-    let wrong = "not reloaded: changelog: expected an address, as in 10.0.0.4:5060";
-    program.reload(|text| text.replace(nought, sound).replace(&to, "\"there\""), wrong);
-    assert!(new.polls.lock().expect("lock").is_empty(), "a faulty file changes nothing");
+    let (old_address, new_address) = (address(&old), address(&new));
+    let (valid, invalid) = ("\"balancers\":1", "\"balancers\":0");
+    let rejected = "not reloaded: settings: balancers must be at least 1";
+    program.reload(|text| text.replace(valid, invalid).replace(&old_address, &new_address), rejected);
+    let rejected = "not reloaded: changelog: expected an address, as in 10.0.0.4:5060";
+    program.reload(|text| text.replace(invalid, valid).replace(&new_address, "\"there\""), rejected);
+    assert!(new.polls.lock().expect("lock").is_empty(), "an invalid file changes nothing");
     let logged = format!("reloaded: change log now at {}", new.address);
-    program.reload(|text| text.replace("\"there\"", &to), &logged);
+    program.reload(|text| text.replace("\"there\"", &new_address), &logged);
     new.tell(&added(1));
-    until("the new log is asked", || new.polls.lock().expect("lock").contains(&3).then_some(()));
-    assert_eq!(new.polls.lock().expect("lock")[0], 2, "from the last event on");
-    assert_eq!(status(&mut caller, 0x51), 200, "what was open stays open");
+    until("the new change log is polled", || new.polls.lock().expect("lock").contains(&3).then_some(()));
+    assert_eq!(new.polls.lock().expect("lock")[0], 2, "polling continues after the last event");
+    assert_eq!(status(&mut caller, 0x51), 200, "an open call is not interrupted");
     caller.invite(0x52, 3000, 1);
     assert_eq!(status(&mut caller, 0x52), 200);
-    assert!(moved[1].seen(0x52).contains(&Seen::Answered), "what the new log tells counts");
+    assert!(moved[1].seen(0x52).contains(&Seen::Answered), "events of the new change log take effect");
     assert!(program.child.try_wait().expect("waited").is_none());
 }
 
 #[test]
-fn sigterm_answers_all_and_ends() {
+fn sigterm_answers_open_and_new_calls_before_the_end() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::AnswerAfter(Duration::from_millis(900)), &record);
     let mut program = Program::start(&targets(&[&hub]), None, None);
@@ -226,14 +228,14 @@
     late.invite(0x72, 3000, 0);
     assert_eq!(status(&mut caller, 0x71), 200);
     late.send("OPTIONS", 0, "", b"");
-    assert_eq!(late.answer(0).map(|a| a.0), Some(503), "it asks for no more callers");
+    assert_eq!(late.answer(0).map(|a| a.0), Some(503), "503 to OPTIONS asks for no more callers");
     assert_eq!(late.answer(0x72).map(|a| a.0), Some(200));
     let exit = until("the program ends", || program.child.try_wait().expect("waited"));
     assert!(exit.success() && end.elapsed() >= Duration::from_millis(700));
 }
 
 #[test]
-fn bad_input_harms_no_other_call() {
+fn malformed_input_affects_no_other_call() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::Answer, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
@@ -243,18 +245,22 @@
     caller.send("INVITE", 0x92, "Call-Kind voice\r\n", b"");
     assert_eq!(status(&mut caller, 0x92), 400, "a header without a colon");
     caller.send("INVITE", 0x93, "Call-Kind: odd\r\nAnswer-Within: 900\r\nX-New: 1\r\n", b"");
-    assert_eq!(status(&mut caller, 0x93), 500, "an unknown class is failed, an unknown header skipped");
+    assert_eq!(
+        status(&mut caller, 0x93),
+        500,
+        "an unknown class fails the call, an unknown header is ignored"
+    );
     let long = format!("Via: SIP/2.0/TCP {}\r\n", "x".repeat(3000));
     caller.send("INVITE", 0x9a, &long, b"");
-    assert_eq!(status(&mut caller, 0x9a), 513, "headers that an answer would have to repeat");
+    assert_eq!(status(&mut caller, 0x9a), 513, "headers that a response must repeat are too long");
     caller.send("PUBLISH", 0x94, "", b"");
     caller.wait_for("405", |s| matches!(s, Said::Other(0x94, _, 405)));
     caller.invite(0x95, 3000, 0);
-    assert_eq!(status(&mut caller, 0x95), 200, "the connection lives on");
+    assert_eq!(status(&mut caller, 0x95), 200, "the connection stays open");
     let mut lost = Caller::connect(program.address);
     lost.stream.write_all(b"\x16\x03\x01 nonsense\r\n\r\n").expect("written");
-    until("nonsense is closed", || (!lost.take_in()).then_some(()));
-    // A garbled binary message closes its connection only; unknown types and parameters are skipped.
+    until("the connection with malformed input is closed", || (!lost.take_in()).then_some(()));
+    // A malformed binary message only closes its connection. Unknown types and parameters are ignored.
     hub.send(99, 5, &[(250, b"new")]);
     hub.send(kind::RELEASE, 0x95, &[(250, b"new"), (code::CAUSE, &[16])]);
     caller.wait_for("released", |s| *s == Said::Bye(0x95, 16));
@@ -262,14 +268,17 @@
     assert_eq!(status(&mut caller, 0x96), 200);
     let before = hub.connections.lock().expect("lock").len();
     hub.send_raw(&[0xff; 40]);
-    until("the link is opened anew", || (hub.connections.lock().expect("lock").len() > before).then_some(()));
+    until("the link is reopened", || (hub.connections.lock().expect("lock").len() > before).then_some(()));
     caller.invite(0x97, 3000, 0);
     assert_eq!(status(&mut caller, 0x97), 200);
-    assert!(!caller.said.contains(&Said::Bye(0x96, 41)), "a call that stands belongs to no connection");
+    assert!(
+        !caller.said.contains(&Said::Bye(0x96, 41)),
+        "an established call does not depend on a connection"
+    );
 }
 
 #[test]
-fn silent_and_halting_callers_are_closed_and_a_taken_id_is_refused() {
+fn idle_and_stalled_connections_are_closed_and_a_duplicate_call_id_is_refused() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::Silent, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
@@ -277,15 +286,15 @@
     let mut silent = Caller::connect(program.address);
     let mut blank = Caller::connect(program.address);
     blank.stream.write_all(b"\r\n\r\n").expect("written");
-    let mut halting = Caller::connect(program.address);
-    halting.stream.write_all(b"INVITE sip:1@net SIP/2.0\r\nCall-ID: 00").expect("written");
+    let mut stalled = Caller::connect(program.address);
+    stalled.stream.write_all(b"INVITE sip:1@net SIP/2.0\r\nCall-ID: 00").expect("written");
     let mut short = Caller::connect(program.address);
     short.stream.write_all(b"BYE sip:1@net SIP/2.0\r\nContent-Length: 90\r\n\r\nno").expect("written");
-    // One that waits for its answer stays.
+    // A connection that waits for an answer stays open.
     let mut waiting = Caller::connect(program.address);
     waiting.invite(0x41, 15_000, 0);
     hub.wait_for(0x41, Seen::SetUp);
-    // Its id is taken: on the same connection, and on another.
+    // The Call-ID is in use, whichever connection repeats it.
     waiting.invite(0x41, 15_000, 0);
     assert_eq!(status(&mut waiting, 0x41), 503);
     waiting.said.clear();
@@ -293,22 +302,30 @@
     other.invite(0x41, 15_000, 0);
     assert_eq!(status(&mut other, 0x41), 503);
     other.send("BYE", 0x41, "", b"");
-    // One with a set-up open that stops half-way through the next message hears that the first failed.
+    // If a connection stalls within a message, its open set-up fails with a response.
     let mut both = Caller::connect(program.address);
     both.invite(0x42, 15_000, 0);
     both.stream.write_all(b"OPTIONS sip:").expect("written");
     assert_eq!(status(&mut both, 0x42), 500);
-    for (who, caller) in [("silent", &mut silent), ("blank", &mut blank), ("halting", &mut halting)] {
+    for (who, caller) in [("silent", &mut silent), ("blank", &mut blank), ("stalled", &mut stalled)] {
         until(who, || (!caller.take_in()).then_some(()));
     }
     until("short", || (!short.take_in()).then_some(()));
-    assert!(start.elapsed() < Duration::from_secs(10), "{:?}; 30 s was too long", start.elapsed());
-    assert!(waiting.take_in() && waiting.said.is_empty(), "the open call is untouched: {:?}", waiting.said);
+    assert!(
+        start.elapsed() < Duration::from_secs(10),
+        "{:?}; closing them after 30 s was too late",
+        start.elapsed()
+    );
+    assert!(
+        waiting.take_in() && waiting.said.is_empty(),
+        "the open call is not affected: {:?}",
+        waiting.said
+    );
     assert_eq!(hub.seen(0x41), [Seen::SetUp]);
 }
 
 #[test]
-fn a_bad_configuration_stops_the_start_with_one_line() {
+fn invalid_configuration_ends_the_start_with_one_line() {
     let run = |document: &str, operator: Option<&str>| {
         let folder = std::env::temp_dir().join(format!("petreldock-bad-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -331,18 +348,18 @@
     assert_eq!(run("{", None), "petreldock: ROUTER_CONFIG: expected a JSON document\n");
     let attempts = good.replace("\"maxAttempts\":6", "\"maxAttempts\":\"x\"");
     assert_eq!(run(&attempts, None), "petreldock: settings.limits.maxAttempts: expected a count\n");
-    let none = good.replace("\"balancers\":1", "\"balancers\":0");
-    assert_eq!(run(&none, None), "petreldock: settings: balancers must be at least 1\n");
+    let no_balancers = good.replace("\"balancers\":1", "\"balancers\":0");
+    assert_eq!(run(&no_balancers, None), "petreldock: settings: balancers must be at least 1\n");
     let hub = r#"{"iax2":{"hubs":[{"uid":"a","address":"here"}]}}"#;
     let expected = "petreldock: iax2.hubs[0].address: expected an address, as in 10.0.0.4:5060\n";
     assert_eq!(run(&good, Some(hub)), expected);
 }
 
 #[test]
-fn running_out_of_descriptors_is_survived() {
+fn descriptor_exhaustion_closes_idle_connections_only() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::Answer, &record);
-    // The configuration promises 1,024; the process gets 40 and finds out at accept.
+    // The configuration allows 1,024 descriptors, but the process may open only 40, so that `accept` fails.
     let program = Program::start_with(&targets(&[&hub]), None, None, (40, 1024));
     let mut serving = Caller::connect(program.address);
     serving.invite(0x81, 3000, 0);
@@ -350,11 +367,11 @@
     let _idle: Vec<Caller> = (0..60).map(|_| Caller::connect(program.address)).collect();
     let mut late = Caller::connect(program.address);
     late.invite(0x82, 15_000, 0);
-    assert_eq!(status(&mut late, 0x82), 200, "idle connections make room");
+    assert_eq!(status(&mut late, 0x82), 200, "idle connections are closed for it");
     assert!(!serving.said.contains(&Said::Bye(0x81, 41)));
     let mut any = Caller::connect(program.address);
     hub.send(kind::RELEASE, 0x81, &[(code::CAUSE, &[16])]);
-    until("the release comes on any connection", || {
+    until("the release arrives on some connection", || {
         [&mut serving, &mut late, &mut any]
             .into_iter()
             .any(|c| {
@@ -366,7 +383,7 @@
 }
 
 #[test]
-fn over_the_bound_on_connections_idle_ones_make_room() {
+fn connection_limit_closes_idle_connections_only() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::AnswerAfter(Duration::from_millis(300)), &record);
     let program = Program::start_with(&targets(&[&hub]), None, None, (1024, 64));
@@ -379,28 +396,28 @@
     assert_eq!(status(&mut late, 0x62), 200);
     assert_eq!(status(&mut busy, 0x61), 200, "a connection with an open set-up stays");
     let closed = idle.iter_mut().filter_map(|c| (!c.take_in()).then_some(())).count();
-    assert!(closed >= 20, "{closed} of 50 idle ones closed, where 32 connections may be open");
+    assert!(closed >= 20, "{closed} of 50 idle connections closed, of which 32 may be open");
 }
 
 #[test]
-fn the_examples_are_accepted() {
+fn example_files_are_valid() {
     let read = |path: &str| std::fs::read_to_string(path).expect("there");
     let value = config::parse(&read("examples/config.json"), "examples").expect("JSON");
-    let read_config = Config::read(&JsonNode::root(&value, ""), None).expect("sound");
+    let read_config = Config::read(&JsonNode::root(&value, ""), None).expect("valid");
     assert_eq!(read_config.known.events[0].targets[0].uid, "toy-1");
     let value = config::parse(&read("deploy/operator.example.json"), "operator").expect("JSON");
-    let operator = OperatorConfig::read(&JsonNode::root(&value, ""), &read_config.names).expect("sound");
+    let operator = OperatorConfig::read(&JsonNode::root(&value, ""), &read_config.names).expect("valid");
     assert!(operator.iax2_listen.is_some() && operator.iax2_hubs.len() == 1);
     let value = config::parse(&read("deploy/state.example.json"), "operator").expect("JSON");
-    let operator = OperatorConfig::read(&JsonNode::root(&value, ""), &read_config.names).expect("sound");
+    let operator = OperatorConfig::read(&JsonNode::root(&value, ""), &read_config.names).expect("valid");
     assert!(operator.state.is_some_and(|s| s.decay == DecaySettings::default()) && operator.log.json);
 }
 
 #[test]
-fn more_hubs_than_descriptors_leave_room_for_callers_and_who_is_called_is_reached() {
+fn more_hubs_than_descriptors_still_leave_descriptors_for_callers() {
     let record = Record::default();
     let hubs: Vec<Hub> = (0..90).map(|n| Hub::start(n, Manner::Answer, &record)).collect();
-    // The hubs that take calls are listed last: the others were there first.
+    // The hubs that get calls are listed last, so that connections to the others would be opened first.
     let target =
         |n: usize| site::target(&format!("s-{n}"), &hubs[n].address.to_string(), n as i64, "in_service");
     let targets: Vec<String> = (0..90).rev().map(target).collect();
@@ -417,5 +434,5 @@
         assert!(descriptors() < 96);
     }
     let reached = hubs.iter().filter(|h| !h.connections.lock().expect("lock").is_empty()).count();
-    assert_eq!(reached, 2, "a connection is made where it is needed, and nowhere else");
+    assert_eq!(reached, 2, "only hubs that get calls are connected");
 }
--- a/tests/simulator_protocol.rs
+++ b/tests/simulator_protocol.rs
@@ -1,4 +1,4 @@
-//! The wire and the built adapter: round trips, a small dialogue, and what is malformed.
+//! Tests of the simulator's protocol and of the built adapter: parsing, writing, a short dialogue and malformed input.
 
 use petreldock::interface::*;
 use petreldock::simulator_protocol::{self, Host, Line};
@@ -36,13 +36,13 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may stop reading at a malformed line; a closed pipe is then no fault of the test.
+    // The adapter stops reading at a malformed line, so that writing the rest of the input may fail.
     let _ = child.stdin.take().expect("stdin is piped").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
 #[test]
-fn dialogue_runs_end_to_end() {
+fn adapter_answers_each_batch_and_forwards_a_call() {
     let input = start() + &call(200, 2, 42, 0) + "batch moment=300 serial=3\nflush\n";
     let out = run(input.as_bytes());
     let text = String::from_utf8(out.stdout).expect("text");
@@ -54,27 +54,27 @@
 }
 
 #[test]
-fn same_input_same_output() {
+fn equal_input_gives_equal_output() {
     let input = (0..50).fold(start(), |text, n| text + &call(1000 * (n + 1), n + 2, n, n % 3));
     assert_eq!(run(input.as_bytes()).stdout, run(input.as_bytes()).stdout);
 }
 
 #[test]
-fn instances_are_isolated_and_stop() {
+fn unknown_and_stopped_instances_are_rejected() {
     let mut host = Host::default();
     for line in start().lines() {
-        host.handle_line(line).expect("legal");
+        host.handle_line(line).expect("valid line");
     }
-    host.handle_line("batch moment=200 serial=2").expect("legal");
-    host.handle_line("switch_to who=4").expect("legal");
-    assert!(host.handle_line("tick_due mark=1").is_err(), "an instance that was never started is named");
-    host.handle_line("switch_to who=3").expect("legal");
-    host.handle_line("shutdown").expect("legal");
-    assert!(host.handle_line("tick_due mark=1").is_err(), "a stopped instance is gone");
+    host.handle_line("batch moment=200 serial=2").expect("valid line");
+    host.handle_line("switch_to who=4").expect("valid line");
+    assert!(host.handle_line("tick_due mark=1").is_err(), "instance 4 was never started");
+    host.handle_line("switch_to who=3").expect("valid line");
+    host.handle_line("shutdown").expect("valid line");
+    assert!(host.handle_line("tick_due mark=1").is_err(), "instance 3 has been stopped");
 }
 
 #[test]
-fn malformed_input_is_named_and_fails() {
+fn malformed_input_fails_with_line_number_and_reason() {
     let cases: &[(&str, &str)] = &[
         ("nonsense\n", "line 1: expected 'batch'"),
         ("batch moment=x serial=1\n", "line 1: batch: expected a whole number in 'moment'"),
@@ -99,20 +99,20 @@
 }
 
 #[test]
-fn clean_end_of_input_succeeds() {
+fn end_of_input_between_batches_succeeds() {
     assert!(run(b"").status.success());
 }
 
 #[test]
-fn fields_are_read() {
-    let (set, names) = simulator_protocol::parse_settings(PARAMS).expect("legal");
-    assert_eq!((set.balancers, set.max_attempts, set.release), (2, 3, Micros(300_000)));
-    assert_eq!(set.classes[0].places, vec![0, 1]);
+fn settings_and_events_are_parsed() {
+    let (settings, names) = simulator_protocol::parse_settings(PARAMS).expect("valid line");
+    assert_eq!((settings.balancers, settings.max_attempts, settings.release), (2, 3, Micros(300_000)));
+    assert_eq!(settings.classes[0].places, vec![0, 1]);
     let line = Line::parse(
         "done handle=4 copy=1 switch=7 disposition=failure took=9 terminal=1 note=4 metrics=3,5,-1,8",
     )
-    .expect("legal");
-    let event = simulator_protocol::parse_event(&line, &names).expect("legal").expect("known");
+    .expect("valid line");
+    let event = simulator_protocol::parse_event(&line, &names).expect("valid line").expect("known");
     let report = Report { free: Some(3.0), size: Some(5.0), ..Report::default() };
     let (id, server) = (CallId(4), ServerId(7));
     assert_eq!(
@@ -127,15 +127,15 @@
             report
         })
     );
-    let line = Line::parse("inbox from=2 msg=6869").expect("legal");
+    let line = Line::parse("inbox from=2 msg=6869").expect("valid line");
     assert_eq!(
-        simulator_protocol::parse_event(&line, &names).expect("legal"),
+        simulator_protocol::parse_event(&line, &names).expect("valid line"),
         Some(Event::PeerMessage(2, b"hi".to_vec()))
     );
 }
 
 #[test]
-fn actions_are_written() {
+fn actions_are_written_as_lines() {
     let cases = [
         (Action::Send(CallId(1), ServerId(2), Micros(3)), "forward handle=1 switch=2 timeout=3\n"),
         (Action::Refuse(CallId(1), Micros(0)), "overload_reply handle=1\n"),
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -1,4 +1,4 @@
-//! The started program with a state folder: what it recalls, what it says when the folder fails, its commands.
+//! Tests of the program with a state folder: restoring, failing folders and the commands that work on a folder.
 
 #[path = "common/peers.rs"]
 mod peers;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_is_learnt_outlives_a_kill_and_a_planned_end() {
+fn learned_state_survives_sigkill_and_a_planned_end() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::Answer, &record);
     let targets = [site::target("s-0", &hub.address.to_string(), 0, "in_service")];
@@ -46,8 +46,8 @@
     assert_eq!(caller.answer(0x11).map(|a| a.0), Some(200));
     hub.send(kind::RELEASE, 0x11, &[(code::CAUSE, &[16]), (code::REPORT, b"x0:90;x1:100;qps:17")]);
     caller.wait_for("released", |s| *s == Said::Bye(0x11, 16));
-    // What is shown beside the running program is what it has learnt.
-    until("the rate is kept", || {
+    // While the program runs, `state show` prints what it has learned.
+    until("the rate is saved", || {
         let shown = command(&["state", "show", "--json"], &path);
         text(&shown.stdout).contains(r#""can_take_per_s":17.0"#).then_some(())
     });
@@ -56,11 +56,11 @@
     assert!(!refused.status.success() && text(&refused.stderr).contains("in use by another process"));
     program.child.kill().expect("killed");
     program.child.wait().expect("ended");
-    let program_again = Program::start(&targets, None, Some(&operator(&path)));
-    until("it says what it recalled", || program_again.logged("state: recalled hubs=1").then_some(()));
-    // A planned end leaves what is known at its end.
+    let restarted = Program::start(&targets, None, Some(&operator(&path)));
+    until("it logs the restored state", || restarted.logged("state: recalled hubs=1").then_some(()));
+    // A planned end writes the state once more.
     drop(program);
-    let mut program = program_again;
+    let mut program = restarted;
     program.signal("-TERM");
     let before = std::fs::metadata(path.join("learning")).expect("there").modified().expect("known");
     assert!(until("it ends", || program.child.try_wait().expect("waited")).success());
@@ -68,42 +68,42 @@
     let shown = command(&["state", "show"], &path);
     assert!(text(&shown.stdout).contains("s-0"), "{shown:?}");
     assert!(command(&["state", "forget"], &path).status.success());
-    let elsewhere = command(&["state", "forget"], &std::env::temp_dir());
-    assert!(!elsewhere.status.success() && text(&elsewhere.stderr).contains("no state folder"));
+    let no_folder = command(&["state", "forget"], &std::env::temp_dir());
+    assert!(!no_folder.status.success() && text(&no_folder.stderr).contains("no state folder"));
     let shown = command(&["state", "show"], &path);
     assert!(text(&shown.stderr).contains("nothing that can be used is kept here"));
     std::fs::remove_dir_all(&path).expect("removed");
 }
 
 #[test]
-fn one_process_a_folder_and_the_second_ends_with_one_line() {
+fn second_process_on_a_folder_and_faulty_keys_end_with_one_line() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::Answer, &record);
     let targets = [site::target("s-0", &hub.address.to_string(), 0, "in_service")];
     let path = folder("two");
     let _first = Program::start(&targets, None, Some(&operator(&path)));
-    let own = folder("two-config");
-    std::fs::create_dir_all(&own).expect("made");
-    std::fs::write(own.join("c.json"), site::document("127.0.0.1:0", None, &targets)).expect("written");
-    std::fs::write(own.join("o.json"), operator(&path)).expect("written");
+    let config = folder("two-config");
+    std::fs::create_dir_all(&config).expect("made");
+    std::fs::write(config.join("c.json"), site::document("127.0.0.1:0", None, &targets)).expect("written");
+    std::fs::write(config.join("o.json"), operator(&path)).expect("written");
     let mut second = Command::new(env!("CARGO_BIN_EXE_petreldock"));
-    second.env("ROUTER_CONFIG", own.join("c.json")).env("PETRELDOCK_OPERATOR", own.join("o.json"));
+    second.env("ROUTER_CONFIG", config.join("c.json")).env("PETRELDOCK_OPERATOR", config.join("o.json"));
     let out = second.env_remove("ROUTER_LISTEN").env_remove("ROUTER_NAME").output().expect("it runs");
     let expected = format!("petreldock: state.folder: '{}': in use by another process\n", path.display());
     assert_eq!((out.status.success(), text(&out.stderr)), (false, expected));
-    // The same files, looked at alone: what is in force, and which key is faulty.
+    // `check` on the same files prints the effective values, or names the faulty key.
     let check = |operator: &str| {
-        std::fs::write(own.join("o.json"), operator).expect("written");
+        std::fs::write(config.join("o.json"), operator).expect("written");
         let mut check = Command::new(env!("CARGO_BIN_EXE_petreldock"));
         check
             .arg("check")
-            .env("ROUTER_CONFIG", own.join("c.json"))
-            .env("PETRELDOCK_OPERATOR", own.join("o.json"));
+            .env("ROUTER_CONFIG", config.join("c.json"))
+            .env("PETRELDOCK_OPERATOR", config.join("o.json"));
         let out = check.env_remove("ROUTER_LISTEN").env_remove("ROUTER_NAME").output().expect("it runs");
         (out.status.success(), text(&out.stdout) + &text(&out.stderr))
     };
-    let (good, said) = check(&operator(&path));
-    assert!(good && said.contains("state.intervalMs              100"), "{said}");
+    let (success, output) = check(&operator(&path));
+    assert!(success && output.contains("state.intervalMs              100"), "{output}");
     for (faulty, key) in [
         (r#"{"state":{}}"#, "state.folder: expected a folder's path"),
         (r#"{"state":{"folder":""}}"#, "state.folder: expected a folder's path"),
@@ -116,16 +116,16 @@
         (r#"{"log":{"level":"loud"}}"#, "log.level: expected error, warn, info or debug"),
         (r#"{"log":{"form":7}}"#, "log.form: expected a string"),
     ] {
-        let (good, said) = check(faulty);
-        assert!(!good && said.starts_with(&format!("petreldock: {key}")), "{faulty}: {said}");
+        let (success, output) = check(faulty);
+        assert!(!success && output.starts_with(&format!("petreldock: {key}")), "{faulty}: {output}");
     }
-    for path in [path, own] {
+    for path in [path, config] {
         std::fs::remove_dir_all(&path).expect("removed");
     }
 }
 
 #[test]
-fn damaged_files_are_set_aside_and_never_refuse_a_start() {
+fn damaged_state_file_is_set_aside_and_does_not_prevent_the_start() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::Answer, &record);
     let targets = [site::target("s-0", &hub.address.to_string(), 0, "in_service")];
@@ -134,10 +134,10 @@
     std::fs::write(path.join("learning"), include_bytes!("data/learning-v1").split_at(100).0)
         .expect("written");
     std::fs::write(path.join("learning.prev"), include_bytes!("data/learning-v1")).expect("written");
-    let (good, said) = verify(&path);
+    let (success, output) = verify(&path);
     assert!(
-        !good && said.contains("faulty: it is cut short") && said.contains("version 1, 1 hubs"),
-        "{said}"
+        !success && output.contains("faulty: it is cut short") && output.contains("version 1, 1 hubs"),
+        "{output}"
     );
     let program = Program::start(&targets, None, Some(&operator(&path)));
     assert!(program.logged("state: it is cut short; set aside as learning.bad-1"));
@@ -145,22 +145,22 @@
     let mut caller = Caller::connect(program.address);
     caller.invite(0x21, 3000, 0);
     assert_eq!(caller.answer(0x21).map(|a| a.0), Some(200));
-    until("a sound one takes its place", || verify(&path).0.then_some(()));
+    until("a valid file replaces it", || verify(&path).0.then_some(()));
     drop(program);
     std::fs::remove_dir_all(&path).expect("removed");
 }
 
 #[test]
-fn a_folder_that_vanishes_costs_no_call_and_is_said_once() {
+fn missing_state_folder_fails_no_call_and_is_logged_once() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::Answer, &record);
     let targets = [site::target("s-0", &hub.address.to_string(), 0, "in_service")];
     let path = folder("vanished");
     let mut program = Program::start(&targets, None, Some(&operator(&path)));
-    until("it is kept", || path.join("learning").exists().then_some(()));
+    until("the state is saved", || path.join("learning").exists().then_some(()));
     let away = folder("vanished-away");
     std::fs::rename(&path, &away).expect("moved");
-    until("it says so", || program.logged("state: not kept").then_some(()));
+    until("the failure is logged", || program.logged("state: not kept").then_some(()));
     let mut caller = Caller::connect(program.address);
     for call in 0x31..0x41 {
         caller.invite(call, 3000, 0);
@@ -168,9 +168,9 @@
     }
     std::thread::sleep(Duration::from_millis(1500));
     std::fs::rename(&away, &path).expect("moved back");
-    until("it is kept again", || program.logged("state: kept again").then_some(()));
+    until("the state is saved again", || program.logged("state: kept again").then_some(()));
     assert_eq!(program.log().matches("state: not kept").count(), 1, "{}", program.log());
-    // One that cannot even be made at the start: calls are served all the same.
+    // Calls are also served if the folder cannot be created at the start.
     program.signal("-TERM");
     until("it ends", || program.child.try_wait().expect("waited"));
     std::fs::remove_dir_all(&path).expect("removed");
@@ -185,13 +185,13 @@
 }
 
 #[test]
-fn a_disk_that_never_answers_holds_up_neither_the_start_nor_a_call_nor_the_end() {
+fn hanging_disk_delays_neither_the_start_nor_calls_nor_the_end() {
     let record = Record::default();
     let hub = Hub::start(0, Manner::Answer, &record);
     let targets = [site::target("s-0", &hub.address.to_string(), 0, "in_service")];
     let path = folder("slow");
     std::fs::create_dir_all(&path).expect("made");
-    // To open a pipe that nobody writes to takes for ever.
+    // Opening a FIFO without a writer blocks forever, as a hanging disk does.
     let made = Command::new("mkfifo").arg(path.join("learning")).status().expect("it runs");
     assert!(made.success());
     let mut program = Program::start(&targets, None, Some(&operator(&path)));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn logs_are_json_where_the_operator_says_so() {
+fn log_format_and_level_follow_the_operator_file() {
     let program = Program::start(&[], None, Some(r#"{"log":{"form":"json","level":"info"}}"#));
     let log = program.log();
     let line = log.lines().find(|l| l.contains("serving at")).expect("logged");
@@ -214,7 +214,7 @@
     let root = petreldock::config::JsonNode::root(&value, "");
     assert_eq!(root.key("level").text(), Ok("INFO"));
     assert_eq!(root.key("fields").key("name").text(), Ok("n1"));
-    // One that says nothing does not say where it serves either.
+    // At level `error` nothing is logged, not even the address, so that the test chooses the address itself.
     let reserved = ReservedAddress::bind();
     let operator = Some(r#"{"log":{"level":"error"}}"#);
     let quiet = Program::launch(reserved.address, &[], None, operator, 1024, |text| text);
