--- a/src/main.rs
+++ b/src/main.rs
@@ -25,10 +25,10 @@
 const IAX2_ENDPOINT_PREFIX: &str = "iax2:";
 /// Minimum time from SIGTERM to the end of the process, as callers still connect for a while.
 const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(800);
-/// SIGKILL follows SIGTERM after the longest deadline of a class and [`KILL_DELAY`]. A longer deadline than this counts
-/// as this.
+/// Longest deadline of a class that counts for the time of SIGKILL, which follows SIGTERM no sooner than after the
+/// longest deadline and [`KILL_DELAY`].
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Time from the longest deadline to SIGKILL; see [`MAX_COUNTED_DEADLINE`].
+/// Minimum time from the longest deadline, counted from SIGTERM, to SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// Calls still open this long before SIGKILL are refused.
 const REFUSE_BEFORE_KILL: Duration = Duration::from_millis(500);
