--- a/src/net/binary.rs
+++ b/src/net/binary.rs
@@ -5,7 +5,7 @@
 //! two bytes.
 
 use super::buffer::MAX_MESSAGE_BYTES;
-use crate::config::Names;
+use crate::config::WireNames;
 use crate::interface::Report;
 use winnow::binary::{be_u16, be_u64, length_take, u8};
 use winnow::combinator::repeat;
@@ -88,7 +88,7 @@
         for part in self.text(code::REPORT).unwrap_or("").split(';') {
             if let Some((name, value)) = part.split_once(':') {
                 if let Ok(value) = value.trim().parse() {
-                    Names::store(&mut report, name.trim(), value);
+                    WireNames::store(&mut report, name.trim(), value);
                 }
             }
         }
