--- a/src/cli.rs
+++ b/src/cli.rs
@@ -6,7 +6,7 @@
 use crate::interface::Micros;
 use crate::learning::{LearnedHub, LearnedState};
 use crate::state::{self, Examined};
-use crate::store::LOCK;
+use crate::store::LOCK_FILE;
 use clap::{Parser, Subcommand};
 use miniserde::{json, Serialize};
 use std::fmt::Write;
@@ -277,7 +277,7 @@
         }
         State::Forget { folder } => {
             // Danger: to take a folder makes a lock in it; a slip of the hand must not do so just anywhere.
-            if !folder.join(LOCK).exists() {
+            if !folder.join(LOCK_FILE).exists() {
                 return Err(named(folder, &"no state folder"));
             }
             state::forget(folder).map_err(|e| named(folder, &e))?;
--- a/src/state.rs
+++ b/src/state.rs
@@ -54,9 +54,9 @@
         }
         let disk = self.disk.insert(Folder::open(&self.path)?);
         let loaded = self.snapshots.load(disk, accept);
-        for aside in &loaded.aside {
-            let to = aside.to.as_deref().unwrap_or("its own name, as it cannot be renamed");
-            tracing::warn!(file = %aside.file, "state: {}; set aside as {to}", aside.fault);
+        for aside in &loaded.set_aside {
+            let to = aside.renamed_to.as_deref().unwrap_or("its own name, as it cannot be renamed");
+            tracing::warn!(file = %aside.file, "state: {}; set aside as {to}", aside.error);
         }
         Ok(Some(loaded))
     }
@@ -114,7 +114,7 @@
 }
 
 fn take_up(loaded: Loaded<LearnedState>, state: &State, now: Micros) -> Option<RestoredState> {
-    let picture = loaded.found?;
+    let picture = loaded.value?;
     let age = (now - picture.at).secs();
     let (memory, taken) = RestoredState::new(picture, state.ageing.clone(), now);
     let what = match (taken.from_future, taken.too_old) {
@@ -174,15 +174,15 @@
 /// Removes what was learnt from a folder that no process has.
 pub fn forget(path: &Path) -> Result<(), OpenError> {
     let mut folder = Folder::open(path)?;
-    Ok(snapshots().forget(&mut folder)?)
+    Ok(snapshots().remove_all(&mut folder)?)
 }
 
 /// The files that may hold what was learnt, with what each is worth, changing nothing.
 pub fn examine(path: &Path) -> io::Result<Vec<Examined>> {
-    let mut folder = Folder::look(path)?;
+    let mut folder = Folder::open_read_only(path)?;
     let snapshots = snapshots();
     let in_use = snapshots.files();
-    let mut names = folder.names()?;
+    let mut names = folder.file_names()?;
     names.retain(|n| n.starts_with(&format!("{LEARNING}.bad-")));
     names.sort();
     let mut examined = Vec::new();
--- a/src/store/folder.rs
+++ b/src/store/folder.rs
@@ -1,4 +1,4 @@
-//! The real [`Disk`]: a folder of one process, readable by its owner alone.
+//! The [`Disk`] on a real file system: a folder that one process uses at a time and only its owner can read.
 
 use super::Disk;
 use std::fmt;
@@ -7,17 +7,17 @@
 use std::os::unix::fs::{DirBuilderExt, OpenOptionsExt, PermissionsExt};
 use std::path::{Path, PathBuf};
 
-/// The file whose lock says that a process has the folder.
-pub const LOCK: &str = "lock";
+/// Name of the file that a process locks while it uses the folder.
+pub const LOCK_FILE: &str = "lock";
 const FOLDER_MODE: u32 = 0o700;
 const FILE_MODE: u32 = 0o600;
 
-/// Why a folder could not be had.
+/// Error of opening a folder.
 #[derive(Debug)]
 pub enum OpenError {
-    /// Another process has it.
+    /// Another process uses the folder.
     InUse,
-    /// It cannot be made, read or locked.
+    /// The folder cannot be created, read or locked.
     Io(io::Error),
 }
 
@@ -42,61 +42,70 @@
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    /// Held for as long as this lives; the system lets it go when the process ends, however it ends.
+    /// The locked file, if the folder was opened for writing. The system releases the lock when the process ends,
+    /// however it ends.
     _lock: Option<File>,
-    /// The file that was appended to last.
-    appending: Option<(String, File)>,
+    /// Name and handle of the file last appended to.
+    append_file: Option<(String, File)>,
 }
 
 impl Folder {
-    /// Makes the folder if it is not there, and takes it for this process alone.
+    /// Creates the folder if it does not exist, and locks it for this process.
+    ///
+    /// # Errors
+    /// [`OpenError::InUse`] if another process holds the lock.
     pub fn open(path: &Path) -> Result<Folder, OpenError> {
         DirBuilder::new().recursive(true).mode(FOLDER_MODE).create(path)?;
-        // One that was there may be open to others, and what is kept names hubs and their addresses. Danger: one
-        // with other files in it is not ours to close to those who use it.
-        if path.join(LOCK).exists() || fs::read_dir(path)?.next().is_none() {
+        // An existing folder may be accessible to other users, and the stored files name hubs and their addresses.
+        // Access is restricted only if the folder is empty or was used before: others may need access to a folder
+        // with other files in it.
+        if path.join(LOCK_FILE).exists() || fs::read_dir(path)?.next().is_none() {
             fs::set_permissions(path, fs::Permissions::from_mode(FOLDER_MODE))?;
         }
         let mut options = OpenOptions::new();
-        let lock = options.write(true).create(true).truncate(false).mode(FILE_MODE).open(path.join(LOCK))?;
+        let lock =
+            options.write(true).create(true).truncate(false).mode(FILE_MODE).open(path.join(LOCK_FILE))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Folder { path: path.into(), _lock: Some(lock), appending: None }),
+            Ok(()) => Ok(Folder { path: path.into(), _lock: Some(lock), append_file: None }),
             Err(TryLockError::WouldBlock) => Err(OpenError::InUse),
             Err(TryLockError::Error(error)) => Err(OpenError::Io(error)),
         }
     }
 
-    /// Looks into a folder that another process may have. Nothing is to be written through it.
-    pub fn look(path: &Path) -> io::Result<Folder> {
+    /// Opens a folder without locking it, as another process may be using it. Must not be used for writing.
+    pub fn open_read_only(path: &Path) -> io::Result<Folder> {
         fs::read_dir(path)?;
-        Ok(Folder { path: path.into(), _lock: None, appending: None })
+        Ok(Folder { path: path.into(), _lock: None, append_file: None })
     }
 }
 
 impl Folder {
-    /// The file to append to. Danger: a sync reports only errors since its file was opened, so that the same one
-    /// must stay open from the append to its sync.
-    fn appending(&mut self, name: &str) -> io::Result<&mut File> {
-        let held = self.appending.take().filter(|(held, _)| held == name);
-        let held = match held {
-            Some(held) => held,
+    /// Returns the handle to append to a file. A sync reports only the errors that occurred since its handle was
+    /// opened, so the same handle must be used from an append to its sync.
+    fn append_file(&mut self, name: &str) -> io::Result<&mut File> {
+        let open = self.append_file.take().filter(|(open, _)| open == name);
+        let open = match open {
+            Some(open) => open,
             None => (name.into(), OpenOptions::new().append(true).open(self.path.join(name))?),
         };
-        Ok(&mut self.appending.insert(held).1)
+        Ok(&mut self.append_file.insert(open).1)
     }
 }
 
 impl Disk for Folder {
-    fn read(&mut self, name: &str, most: usize) -> io::Result<Option<Vec<u8>>> {
+    fn read(&mut self, name: &str, max_bytes: usize) -> io::Result<Option<Vec<u8>>> {
         let file = match File::open(self.path.join(name)) {
             Ok(file) => file,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(error),
         };
         let mut bytes = Vec::new();
-        file.take(most as u64 + 1).read_to_end(&mut bytes)?;
-        if bytes.len() > most {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, format!("longer than {most} bytes")));
+        file.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
+        if bytes.len() > max_bytes {
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                format!("file exceeds {max_bytes} bytes"),
+            ));
         }
         Ok(Some(bytes))
     }
@@ -110,11 +119,11 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.appending(name)?.write_all(bytes)
+        self.append_file(name)?.write_all(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.appending(name)?.sync_data()
+        self.append_file(name)?.sync_data()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
@@ -122,10 +131,10 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.appending.take_if(|(held, _)| held == name);
+        self.append_file.take_if(|(open, _)| open == name);
         match fs::remove_file(self.path.join(name)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
-            done => done,
+            result => result,
         }
     }
 
@@ -133,7 +142,7 @@
         File::open(&self.path)?.sync_all()
     }
 
-    fn names(&mut self) -> io::Result<Vec<String>> {
+    fn file_names(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             names.extend(entry?.file_name().into_string());
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,52 +1,57 @@
-//! Durable files in one folder, over a small [`Disk`]: whole snapshots, and an append-only [`Log`].
+//! Durable files in one folder, accessed through the small [`Disk`] trait: whole snapshots ([`Snapshots`]) and
+//! an append-only [`Log`].
 //!
-//! A snapshot is written whole beside the current one, synced, and renamed into its place; the one before
-//! is kept as a fall-back. At whatever point the power goes, the previous or the new one is found, whole.
-//! What is kept in a file is its owner's matter: this room knows bytes, kinds and versions. The form is
-//! described byte by byte in `docs/FORMAT.md`.
+//! A snapshot is written to a temporary file, synced, and renamed into place; the previous generation is kept
+//! as a fallback. After a power loss at any point, either the previous or the new snapshot is found intact.
+//! The content of a file is up to its owner: this module handles only bytes, kinds and versions.
 
 mod folder;
 mod log;
 mod snapshot;
 
-pub use folder::{Folder, OpenError, LOCK};
+pub use folder::{Folder, OpenError, LOCK_FILE};
 pub use log::{
-    frame, next_record, BadRecord, Finding, Log, Record, Replayed, BATCH_MOST, RECORD_MOST, SEGMENT_FULL,
+    encode_record, next_record, Log, Record, RecordError, ReplayIssue, ReplaySummary, MAX_BATCH_BYTES,
+    MAX_RECORD_BYTES, SEGMENT_ROTATION_BYTES,
+};
+pub use snapshot::{
+    decode, encode, FileError, Header, Loaded, SetAsideFile, Snapshots, HEADER_BYTES, MAX_PAYLOAD_BYTES,
 };
-pub use snapshot::{encode, read, Fault, Header, Loaded, SetAside, Snapshots, HEADER, PAYLOAD_MOST};
 
 use std::io;
 
-/// What files are kept on: one folder with flat names. Tests put a simulated one here and cut its power.
+/// The storage under snapshots and logs: one folder with a flat set of file names. Tests implement it with a
+/// simulated disk whose power fails.
 ///
-/// Nothing but [`Disk::put`], [`Disk::sync`] and [`Disk::sync_folder`] waits for the device.
+/// Only [`Disk::put`], [`Disk::sync`] and [`Disk::sync_folder`] wait for the device.
 pub trait Disk {
-    /// The whole file, or `None` if there is none.
+    /// Reads the whole file, or returns `None` if there is none.
     ///
     /// # Errors
-    /// `InvalidData` where it holds more than `most` bytes, which are not read; else the device's error.
-    fn read(&mut self, name: &str, most: usize) -> io::Result<Option<Vec<u8>>>;
+    /// `InvalidData` if the file holds more than `max_bytes` bytes; otherwise the device's error.
+    fn read(&mut self, name: &str, max_bytes: usize) -> io::Result<Option<Vec<u8>>>;
 
-    /// Makes a new file with these bytes and syncs it; what had the name is removed first. An error is
-    /// final for that file: what it holds is not known, and it is not synced again but made anew.
+    /// Creates a file with these bytes and syncs it; an existing file of that name is removed first. After an
+    /// error the content of the file is unknown: the file must be created anew, not synced again.
     fn put(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Adds bytes at the end of a file that is there. They last from the next [`Disk::sync`] of it on.
+    /// Appends bytes to an existing file. They are durable after the next [`Disk::sync`] of the file.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes what was appended to a file last. An error is final for that file, as with [`Disk::put`].
+    /// Makes the bytes appended to a file durable. After an error the content of the file is unknown, as with
+    /// [`Disk::put`].
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Gives a file another name, in one step; what had that name is gone. It lasts from the next
-    /// [`Disk::sync_folder`] on, and may last earlier.
+    /// Renames a file atomically, replacing any file of the new name. The change is durable after the next
+    /// [`Disk::sync_folder`], and may be durable earlier.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file; one that is not there is none the worse.
+    /// Removes a file; it is not an error if there is none.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes all renames and removals so far last.
+    /// Makes all renames and removals so far durable.
     fn sync_folder(&mut self) -> io::Result<()>;
 
-    /// The names of all files.
-    fn names(&mut self) -> io::Result<Vec<String>>;
+    /// Returns the names of all files.
+    fn file_names(&mut self) -> io::Result<Vec<String>>;
 }
--- a/tests/common/sim_disk.rs
+++ b/tests/common/sim_disk.rs
@@ -195,7 +195,7 @@
         Ok(())
     }
 
-    fn names(&mut self) -> io::Result<Vec<String>> {
+    fn file_names(&mut self) -> io::Result<Vec<String>> {
         Ok(self.names.keys().cloned().collect())
     }
 }
--- a/tests/learning.rs
+++ b/tests/learning.rs
@@ -160,7 +160,7 @@
 #[test]
 fn a_file_of_version_1_is_migrated() {
     let bytes = include_bytes!("data/learning-v1");
-    let (header, payload) = store::read(bytes).expect("a valid snapshot");
+    let (header, payload) = store::decode(bytes).expect("a valid snapshot");
     assert_eq!(header.version, 1);
     let read = decode(1, payload).expect("migrated");
     let [kept] = &read.hubs[..] else { panic!("one hub: {read:?}") };
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -4,8 +4,8 @@
 mod sim_disk;
 
 use petreldock::store::{
-    frame, next_record, BadRecord, Disk, Finding, Folder, Log, Record, Replayed, BATCH_MOST, RECORD_MOST,
-    SEGMENT_FULL,
+    encode_record, next_record, Disk, Folder, Log, Record, RecordError, ReplayIssue, ReplaySummary,
+    MAX_BATCH_BYTES, MAX_RECORD_BYTES, SEGMENT_ROTATION_BYTES,
 };
 use quickcheck::{Arbitrary, Gen};
 use sim_disk::SimDisk;
@@ -21,21 +21,21 @@
 }
 
 /// Opens the log; gives it with the sequences it holds, whose payloads are checked.
-fn open(disk: &mut impl Disk, after: u64) -> (Log, Vec<u64>, Replayed) {
+fn open(disk: &mut impl Disk, after: u64) -> (Log, Vec<u64>, ReplaySummary) {
     let (mut log, mut sequences) = (log(), Vec::new());
-    let replayed = log.open(disk, after, |version, record| {
+    let summary = log.open(disk, after, |version, record| {
         assert_eq!((version, record.payload), (3, &payload(record.sequence)[..]));
         sequences.push(record.sequence);
     });
-    let replayed = replayed.expect("the folder is there");
-    assert_eq!(replayed.records, sequences.len() as u64);
-    (log, sequences, replayed)
+    let summary = summary.expect("the folder is there");
+    assert_eq!(summary.records, sequences.len() as u64);
+    (log, sequences, summary)
 }
 
 /// Commits so many records in batches of one to three, with a new segment now and then, and older ones forgotten
 /// up to `covered`; gives the last that was said to last.
 fn write(disk: &mut impl Disk, log: &mut Log, count: u64) -> u64 {
-    let mut lasts = log.next() - 1;
+    let mut lasts = log.next_sequence() - 1;
     while lasts < count {
         let batch: Vec<Vec<u8>> = (1..=1 + lasts % 3).map(|n| payload(lasts + n)).collect();
         let batch: Vec<&[u8]> = batch.iter().map(Vec::as_slice).collect();
@@ -62,20 +62,20 @@
             let mut disk = SimDisk::default().cut(cut);
             let lasts = write(&mut disk, &mut log(), 14);
             let mut found = disk.after_power_loss(seed);
-            let (mut again, sequences, replayed) = open(&mut found, 0);
+            let (mut again, sequences, summary) = open(&mut found, 0);
             let last = sequences.len() as u64;
             assert_eq!(sequences, (1..=last).collect::<Vec<_>>(), "cut at {cut}, seed {seed}");
             assert!(last >= lasts && last <= lasts + 3, "cut at {cut}, seed {seed}: {last} after {lasts}");
-            let lost = replayed.findings.iter().any(|f| matches!(f, Finding::Lost { .. }));
-            assert!(!lost, "cut at {cut}, seed {seed}: {:?}", replayed.findings);
+            let lost = summary.issues.iter().any(|f| matches!(f, ReplayIssue::Lost { .. }));
+            assert!(!lost, "cut at {cut}, seed {seed}: {:?}", summary.issues);
             // It goes on from there, and is cut again.
             let mut found = found.cut(seed as usize * 7 % whole.steps);
             let lasts = write(&mut found, &mut again, last + 6);
-            let (_, sequences, replayed) = open(&mut found.after_power_loss(seed + 1), 0);
+            let (_, sequences, summary) = open(&mut found.after_power_loss(seed + 1), 0);
             let last = sequences.len() as u64;
             assert_eq!(sequences, (1..=last).collect::<Vec<_>>(), "cut twice, at {cut}, seed {seed}");
             assert!(last >= lasts, "cut twice, at {cut}, seed {seed}: {last} after {lasts}");
-            assert!(!replayed.findings.iter().any(|f| matches!(f, Finding::Lost { .. })));
+            assert!(!summary.issues.iter().any(|f| matches!(f, ReplayIssue::Lost { .. })));
         }
     }
 }
@@ -92,8 +92,8 @@
     let next = payload(5);
     assert_eq!(log.commit(&mut disk, &[&next]).expect("sound again"), 5);
     // The failed record is whole in the old segment, under the same sequence. It never counted.
-    let (_, sequences, replayed) = open(&mut disk, 0);
-    assert_eq!((sequences, replayed.findings), ((1..=5).collect(), vec![]));
+    let (_, sequences, summary) = open(&mut disk, 0);
+    assert_eq!((sequences, summary.issues), ((1..=5).collect(), vec![]));
     // A full disk: the batch is cut short, and goes to a new segment once there is room.
     disk.room = Some(80);
     let batch: Vec<Vec<u8>> = (6..=9).map(payload).collect();
@@ -113,31 +113,34 @@
             log.rotate(&mut disk).expect("sound");
         }
     }
-    let names = disk.names().expect("names");
+    let names = disk.file_names().expect("names");
     assert_eq!(names, ["calls.0000000001", "calls.0000000002"]);
     // Records of 26 bytes and more after a head of 48: the third one of the first segment.
     let third = 48 + (16 + 11) + (16 + 12);
     let mut damaged = disk.clone();
     damaged.damage(&names[0], |b| b[third + 20] ^= 1);
-    let (_, sequences, replayed) = open(&mut damaged, 0);
+    let (_, sequences, summary) = open(&mut damaged, 0);
     assert_eq!(sequences, [1, 2, 5, 6, 7, 8, 9]);
-    let lost = Finding::Lost { file: Some(names[0].clone()), at: third, from: 3, to: 5 };
-    assert_eq!((replayed.findings, replayed.last), (vec![lost], 9));
+    let lost = ReplayIssue::Lost { file: Some(names[0].clone()), offset: third, from: 3, to: 5 };
+    assert_eq!((summary.issues, summary.last), (vec![lost], 9));
     // Covered by a checkpoint, it is no loss.
     assert_eq!(open(&mut damaged, 4).1, [5, 6, 7, 8, 9]);
-    assert!(open(&mut damaged, 4).2.findings.iter().all(|f| matches!(f, Finding::TornTail { .. })));
+    assert!(open(&mut damaged, 4).2.issues.iter().all(|f| matches!(f, ReplayIssue::TornTail { .. })));
     // The last segment's tail: cut off, and nothing else.
     let mut torn = disk.clone();
     torn.damage(&names[1], |b| b.truncate(b.len() - 1));
-    let (log, sequences, replayed) = open(&mut torn, 0);
-    assert_eq!((sequences.len(), log.next()), (8, 9));
-    assert!(matches!(&replayed.findings[..], [Finding::TornTail { what: BadRecord::Short, .. }]));
+    let (log, sequences, summary) = open(&mut torn, 0);
+    assert_eq!((sequences.len(), log.next_sequence()), (8, 9));
+    assert!(matches!(&summary.issues[..], [ReplayIssue::TornTail { error: RecordError::Truncated, .. }]));
     // A segment that is gone, or whose head is spoilt, is a loss.
     let mut headless = disk.clone();
     headless.damage(&names[0], |b| b[5] ^= 1);
-    let (_, sequences, replayed) = open(&mut headless, 0);
+    let (_, sequences, summary) = open(&mut headless, 0);
     assert_eq!(sequences, [5, 6, 7, 8, 9]);
-    assert!(matches!(&replayed.findings[..], [Finding::Head { .. }, Finding::Lost { from: 1, to: 5, .. }]));
+    assert!(matches!(
+        &summary.issues[..],
+        [ReplayIssue::BadHeader { .. }, ReplayIssue::Lost { from: 1, to: 5, .. }]
+    ));
 }
 
 #[test]
@@ -148,18 +151,18 @@
         log.commit(&mut disk, &[&payload(sequence)]).expect("sound");
         if sequence % 10 == 0 {
             log.rotate(&mut disk).expect("sound");
-            most = most.max(disk.names().expect("names").len());
-            log.forget(&mut disk, sequence).expect("sound");
+            most = most.max(disk.file_names().expect("names").len());
+            log.remove_covered_segments(&mut disk, sequence).expect("sound");
         }
     }
     assert_eq!(most, 2);
-    let (_, sequences, replayed) = open(&mut disk, 200);
-    assert_eq!((sequences, replayed.last, replayed.findings), (vec![], 200, vec![]));
+    let (_, sequences, summary) = open(&mut disk, 200);
+    assert_eq!((sequences, summary.last, summary.issues), (vec![], 200, vec![]));
     // What a checkpoint does not cover stays.
     let (mut log, ..) = open(&mut disk, 200);
     let lasts = write(&mut disk, &mut log, 207);
     log.rotate(&mut disk).expect("sound");
-    log.forget(&mut disk, 203).expect("sound");
+    log.remove_covered_segments(&mut disk, 203).expect("sound");
     assert_eq!(open(&mut disk, 203).1, (204..=lasts).collect::<Vec<_>>());
 }
 
@@ -167,31 +170,31 @@
 fn records_and_batches_are_bounded_and_segments_rotate_by_themselves() {
     let mut disk = SimDisk::default();
     let mut log = log();
-    let (long, most) = (vec![1; RECORD_MOST + 1], vec![1; RECORD_MOST]);
+    let (long, most) = (vec![1; MAX_RECORD_BYTES + 1], vec![1; MAX_RECORD_BYTES]);
     assert!(log.commit(&mut disk, &[&long]).is_err());
     assert!(
-        log.commit(&mut disk, &vec![&most[..]; BATCH_MOST / RECORD_MOST]).is_err(),
+        log.commit(&mut disk, &vec![&most[..]; MAX_BATCH_BYTES / MAX_RECORD_BYTES]).is_err(),
         "frames count as well"
     );
-    assert!(disk.names().expect("names").is_empty(), "which changes nothing");
-    let fit = BATCH_MOST / RECORD_MOST - 1;
+    assert!(disk.file_names().expect("names").is_empty(), "which changes nothing");
+    let fit = MAX_BATCH_BYTES / MAX_RECORD_BYTES - 1;
     for _ in 0..4 {
         log.commit(&mut disk, &vec![&most[..]; fit]).expect("sound");
     }
-    assert!(log.is_full() && SEGMENT_FULL <= BATCH_MOST);
-    assert_eq!(disk.names().expect("names").len(), 2, "two batches fill one");
+    assert!(log.is_segment_full() && SEGMENT_ROTATION_BYTES <= MAX_BATCH_BYTES);
+    assert_eq!(disk.file_names().expect("names").len(), 2, "two batches fill one");
     let mut log = Log::new("calls", KIND, 3);
-    let replayed = log.open(&mut disk, 0, |_, record| assert_eq!(record.payload, most)).expect("there");
-    assert_eq!((replayed.records, replayed.findings), (4 * fit as u64, vec![]));
+    let summary = log.open(&mut disk, 0, |_, record| assert_eq!(record.payload, most)).expect("there");
+    assert_eq!((summary.records, summary.issues), (4 * fit as u64, vec![]));
 }
 
 #[test]
 fn garbled_records_are_refused_and_none_panics() {
     let mut whole = Vec::new();
-    frame(&mut whole, Record { sequence: 7, payload: b"seven" });
+    encode_record(&mut whole, Record { sequence: 7, payload: b"seven" });
     assert_eq!(next_record(&whole), Ok(Some(Record { sequence: 7, payload: b"seven" })));
     for cut in 1..whole.len() {
-        assert_eq!(next_record(&whole[..cut]), Err(BadRecord::Short), "cut at {cut}");
+        assert_eq!(next_record(&whole[..cut]), Err(RecordError::Truncated), "cut at {cut}");
     }
     for bit in 0..whole.len() * 8 {
         let mut flipped = whole.clone();
@@ -208,7 +211,7 @@
         disk.damage("calls.0000000001", |b| b.splice(48.., garbage.clone()).for_each(drop));
         disk.lay("calls.0000000002", &garbage);
         let opened = log().open(&mut disk, 0, |_, _| {}).expect("there");
-        assert!(opened.findings.len() <= 3);
+        assert!(opened.issues.len() <= 3);
     }
 }
 
@@ -220,11 +223,11 @@
     let lasts = write(&mut folder, &mut log(), 20);
     drop(folder);
     let mut folder = Folder::open(&path).expect("there");
-    let (mut log, sequences, replayed) = open(&mut folder, 0);
-    assert_eq!((sequences, replayed.findings), ((1..=lasts).collect(), vec![]));
+    let (mut log, sequences, summary) = open(&mut folder, 0);
+    assert_eq!((sequences, summary.issues), ((1..=lasts).collect(), vec![]));
     write(&mut folder, &mut log, 30);
     log.rotate(&mut folder).expect("sound");
-    assert!(log.forget(&mut folder, lasts).expect("sound") > 0);
+    assert!(log.remove_covered_segments(&mut folder, lasts).expect("sound") > 0);
     assert!(open(&mut folder, lasts).1.len() >= 30 - lasts as usize);
     std::fs::remove_dir_all(&path).expect("removed");
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -3,7 +3,9 @@
 #[path = "common/sim_disk.rs"]
 mod sim_disk;
 
-use petreldock::store::{encode, read, Disk, Fault, Folder, Header, OpenError, Snapshots, HEADER};
+use petreldock::store::{
+    decode, encode, Disk, FileError, Folder, Header, OpenError, Snapshots, HEADER_BYTES,
+};
 use quickcheck::{Arbitrary, Gen};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -31,13 +33,13 @@
 }
 
 fn load(disk: &mut impl Disk) -> Option<u64> {
-    snapshots().load(disk, |_, bytes| number(bytes)).found
+    snapshots().load(disk, |_, bytes| number(bytes)).value
 }
 
 /// Saves 1 to `count`; gives the last one that was said to last.
 fn save(disk: &mut impl Disk, count: u64) -> u64 {
     let mut snapshots = snapshots();
-    let mut last = snapshots.load(disk, |_, bytes| number(bytes)).found.unwrap_or(0);
+    let mut last = snapshots.load(disk, |_, bytes| number(bytes)).value.unwrap_or(0);
     for next in last + 1..=count {
         if snapshots.save(disk, 1, &payload(next)).is_ok() {
             last = next;
@@ -56,9 +58,9 @@
             let lasts = save(&mut disk, 4);
             let mut found = disk.after_power_loss(seed);
             let loaded = snapshots().load(&mut found, |_, bytes| number(bytes));
-            let got = loaded.found.unwrap_or(0);
+            let got = loaded.value.unwrap_or(0);
             assert!(got == lasts || got == lasts + 1, "cut at {cut}, seed {seed}: {got} after {lasts}");
-            assert!(loaded.aside.is_empty(), "nothing torn ever stands under a name in use");
+            assert!(loaded.set_aside.is_empty(), "nothing torn ever stands under a name in use");
             // A second loss, while the start after the first is writing.
             let mut again = found.cut(seed as usize % whole.steps);
             let lasts = save(&mut again, got + 2).max(got);
@@ -88,7 +90,7 @@
         }
         fail(&mut disk, false);
         snapshots.save(&mut disk, 1, &payload(3)).expect("sound again");
-        disk.damage("kept", |bytes| bytes[HEADER + 3] ^= 1);
+        disk.damage("kept", |bytes| bytes[HEADER_BYTES + 3] ^= 1);
         assert_eq!(load(&mut disk), Some(1), "the one before is still there");
     }
 }
@@ -99,17 +101,17 @@
     let later = encode(Header { kind: KIND, version: 9, generation: 5 }, &payload(9));
     let other = encode(Header { kind: 5, version: 1, generation: 5 }, &payload(9));
     type Damage = Box<dyn FnOnce(&mut Vec<u8>)>;
-    let cases: Vec<(Damage, Fault)> = vec![
-        (Box::new(flipped(0)), Fault::Foreign),
-        (Box::new(flipped(20)), Fault::Header),
-        (Box::new(flipped(HEADER + 50)), Fault::Payload),
-        (Box::new(|b| b.truncate(HEADER - 1)), Fault::Short),
-        (Box::new(|b| b.truncate(HEADER + 90)), Fault::Short),
-        (Box::new(|b| b.push(0)), Fault::Long),
-        (Box::new(|b| b.clear()), Fault::Short),
-        (Box::new(|b| *b = b"[learning]\nno such form\n".to_vec()), Fault::Foreign),
-        (Box::new(move |b| *b = later), Fault::Refused("version 9".into())),
-        (Box::new(move |b| *b = other), Fault::Kind(5)),
+    let cases: Vec<(Damage, FileError)> = vec![
+        (Box::new(flipped(0)), FileError::BadMagic),
+        (Box::new(flipped(20)), FileError::HeaderChecksum),
+        (Box::new(flipped(HEADER_BYTES + 50)), FileError::PayloadChecksum),
+        (Box::new(|b| b.truncate(HEADER_BYTES - 1)), FileError::Truncated),
+        (Box::new(|b| b.truncate(HEADER_BYTES + 90)), FileError::Truncated),
+        (Box::new(|b| b.push(0)), FileError::TrailingBytes),
+        (Box::new(|b| b.clear()), FileError::Truncated),
+        (Box::new(|b| *b = b"[learning]\nno such form\n".to_vec()), FileError::BadMagic),
+        (Box::new(move |b| *b = later), FileError::Rejected("version 9".into())),
+        (Box::new(move |b| *b = other), FileError::WrongKind(5)),
     ];
     for (damage, fault) in cases {
         let mut disk = SimDisk::default();
@@ -119,9 +121,9 @@
             1 => number(bytes),
             newer => Err(format!("version {newer}")),
         });
-        assert_eq!((loaded.found, loaded.fallback), (Some(1), true), "{fault:?}");
-        assert_eq!((&*loaded.aside[0].file, &loaded.aside[0].fault), ("kept", &fault));
-        assert_eq!(loaded.aside[0].to.as_deref(), Some("kept.bad-1"));
+        assert_eq!((loaded.value, loaded.fallback), (Some(1), true), "{fault:?}");
+        assert_eq!((&*loaded.set_aside[0].file, &loaded.set_aside[0].error), ("kept", &fault));
+        assert_eq!(loaded.set_aside[0].renamed_to.as_deref(), Some("kept.bad-1"));
         // The good one before is not overwritten by what was bad, and the next load has nothing to say.
         assert_eq!(save(&mut disk, 2), 2);
         assert_eq!(load(&mut disk), Some(2));
@@ -137,26 +139,26 @@
         disk.lay("kept", b"nonsense");
         assert_eq!(load(&mut disk), None);
     }
-    assert_eq!(disk.names().expect("names").len(), 8);
+    assert_eq!(disk.file_names().expect("names").len(), 8);
 }
 
 #[test]
 fn any_garbled_file_is_refused_and_none_panics() {
     let whole = encode(Header { kind: KIND, version: 1, generation: 3 }, &payload(3));
-    assert!(read(&whole).is_ok());
+    assert!(decode(&whole).is_ok());
     for cut in 0..whole.len() {
-        assert!(read(&whole[..cut]).is_err(), "cut at {cut}");
+        assert!(decode(&whole[..cut]).is_err(), "cut at {cut}");
     }
     for bit in 0..whole.len() * 8 {
         let mut flipped = whole.clone();
         flipped[bit / 8] ^= 1 << (bit % 8);
-        assert!(read(&flipped).is_err(), "bit {bit}");
+        assert!(decode(&flipped).is_err(), "bit {bit}");
     }
     for seed in 0..2000 {
         let mut gen = Gen::from_size_and_seed(200, seed);
         let garbage = Vec::<u8>::arbitrary(&mut gen);
-        assert!(read(&garbage).is_err());
-        assert!(read(&[b"PETRELDK", &garbage[..]].concat()).is_err());
+        assert!(decode(&garbage).is_err());
+        assert!(decode(&[b"PETRELDK", &garbage[..]].concat()).is_err());
     }
 }
 
@@ -179,7 +181,7 @@
     held.put("a", b"b").expect("written");
     let mode = |p: &std::path::Path| std::fs::metadata(p).expect("there").permissions().mode() & 0o777;
     assert_eq!((mode(&path), mode(&path.join("a")), mode(&path.join("lock"))), (0o700, 0o600, 0o600));
-    assert!(Folder::look(&path).expect("looked").read("a", 0).is_err(), "longer than is wanted");
+    assert!(Folder::open_read_only(&path).expect("looked").read("a", 0).is_err(), "longer than is wanted");
     drop(held);
     Folder::open(&path).expect("let go");
     std::fs::remove_dir_all(&path).expect("removed");
@@ -198,7 +200,7 @@
     let Ok(path) = std::env::var("PETRELDOCK_TEST_WRITER") else { return };
     let mut disk = Folder::open(path.as_ref()).expect("opened");
     let mut snapshots = snapshots();
-    let mut last = snapshots.load(&mut disk, |_, bytes| number(bytes)).found.unwrap_or(0);
+    let mut last = snapshots.load(&mut disk, |_, bytes| number(bytes)).value.unwrap_or(0);
     loop {
         last += 1;
         snapshots.save(&mut disk, 1, &payload(last)).expect("saved");
@@ -226,8 +228,8 @@
         told = lines.filter_map(saved).last().unwrap_or(told);
         let mut disk = Folder::open(&path).expect("the lock went with the process");
         let loaded = snapshots().load(&mut disk, |_, bytes| number(bytes));
-        let found = loaded.found.expect("the previous one or the new one");
-        assert!(loaded.aside.is_empty(), "kill {kill}: {:?}", loaded.aside);
+        let found = loaded.value.expect("the previous one or the new one");
+        assert!(loaded.set_aside.is_empty(), "kill {kill}: {:?}", loaded.set_aside);
         assert!(found == told || found == told + 1, "kill {kill}: {found} after {told}");
     }
     assert!(told >= 200, "{told} files in 200 kills");
