--- a/src/recovery/mod.rs
+++ b/src/recovery/mod.rs
@@ -1,13 +1,14 @@
-//! Calls in progress over a restart: what must be on the disk before what is sent, and what a start makes of
-//! what it finds. It knows no disk, no clock and no wire: times come in, [`Step`]s go out to a log.
+//! State of calls in progress across a restart: which events must be durable before the messages that depend on
+//! them are sent, and how each call continues after a start.
 //!
-//! A [`Ledger`] is the table of calls as its steps tell it. The same code takes a step while the program runs and
-//! when the log is read, so that what a start finds is what the table was. A step that was written may have been
-//! followed by what it allowed: an attempt that may have begun did begin.
+//! This module accesses no disk, clock or network: the caller supplies times and stores the [`Entry`]s in a log.
+//! A [`CallTable`] is the result of applying the entries. The same code applies an entry while the program runs
+//! and when the log is replayed, so that a start restores the table as it was. If an entry was written, the
+//! message that waited for it may have been sent: an attempt that may have started is treated as started.
 
-mod form;
+mod encoding;
 
-pub use form::{decode, decode_all, encode, encode_all, KIND, VERSION};
+pub use encoding::{decode, decode_table, encode, encode_table, KIND, VERSION};
 
 use crate::core::CallName;
 use crate::interface::Micros;
@@ -15,78 +16,82 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Calls in a ledger at most: as many as the core may have open.
-pub const CALLS_MOST: usize = 20_000;
-/// Answered calls stay known for so long, for a caller that asks again.
-pub const ANSWERS_KEPT: Micros = Micros(30_000_000);
-/// A time so far ahead of the clock is still taken for now; past it the clock was set back.
-const AHEAD: Micros = Micros(500_000);
+/// Maximum number of calls in a table: as many as the core may have open.
+pub const MAX_CALLS: usize = 20_000;
+/// Time for which the final answer to a refused or failed call is kept, for a caller that asks again.
+pub const ANSWER_RETENTION: Micros = Micros(30_000_000);
+/// Greatest amount by which the last entry may be ahead of the clock. If it is further ahead, the clock was set
+/// back.
+const MAX_CLOCK_LAG: Micros = Micros(500_000);
 
-/// A final answer, as a caller that asks again is to get it.
+/// The final answer to a call, which a caller that asks again gets once more.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The call stands, with the hub's description.
-    Stands(Vec<u8>),
-    /// Refused; the caller should stay away so long.
+    /// The call was established, with the hub's description.
+    Established(Vec<u8>),
+    /// The call was refused; the caller is asked to wait this long before it calls again.
     Refused(Micros),
-    /// Failed.
+    /// The call failed.
     Failed,
 }
 
-/// What happens to a call, as far as the next start must know of it.
+/// A change of a call's state that a later start must know about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// It was taken.
-    Taken {
-        /// The front that it came in at.
+pub enum CallEvent {
+    /// The call was accepted from its caller.
+    Accepted {
+        /// Index of the front that the call came in at.
         front: usize,
-        /// The class's name.
+        /// Name of the call's class.
         class: Arc<str>,
         /// The number called.
         number: Arc<str>,
         /// The place of first choice.
         place: i64,
-        /// When its caller stops waiting.
+        /// Time at which the caller stops waiting.
         deadline: Micros,
     },
-    /// An attempt begins: its own number, how many the call had before, and the hub.
-    Begins {
-        /// Never used twice, also not by a later start.
+    /// An attempt starts.
+    AttemptStarted {
+        /// Number of the attempt. It is never used again, not even after a restart.
         attempt: u64,
-        /// Attempts before it.
-        sent: u32,
-        /// Which process it goes to.
+        /// Number of earlier attempts for the call.
+        attempts_before: u32,
+        /// The hub process that the attempt is sent to.
         hub: Identity,
     },
-    /// The attempt ended, and may have run: nothing for the call before this time.
-    Unsure(Micros),
-    /// The attempt never ran.
-    NeverRan,
-    /// The final answer.
+    /// The attempt ended, and the hub may have run it: no further attempt may start before this time.
+    MayHaveRun(Micros),
+    /// The attempt ended, and the hub did not run it.
+    DidNotRun,
+    /// The call got its final answer.
     Answered(Answer),
-    /// Nothing of it is left: it was refused, or stood and is over.
-    Ends,
+    /// The call was refused or is over, and nothing about it needs to be kept.
+    Ended,
 }
 
-/// Whether what a step allows has to wait until it lasts.
+/// Whether the message that follows an event must wait until the event is durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// It waits: a set-up's first byte, a final answer.
-    Before,
-    /// It does not: not to know of it makes the next start more careful, never wrong.
-    Lazy,
+    /// The message must wait. It is the first byte of a set-up or a final answer.
+    BeforeSending,
+    /// The message need not wait. If the event is lost, the next start is more cautious but still correct.
+    Deferred,
 }
 
-impl Step {
-    /// What the step has to wait for.
+impl CallEvent {
+    /// Returns whether the event must be durable before the message that follows it is sent.
     ///
-    /// A set-up and a final answer can't be taken back once they are sent. The others may be lost: a call that
-    /// was taken is offered again by its caller; an attempt whose end is not known is taken for one that may
-    /// have run, and the pause starts anew; a call whose end is not known is released once more, which is free.
+    /// A set-up and a final answer cannot be taken back once they are sent. The other events may be lost: the
+    /// caller offers an accepted call again; an attempt whose end is not known is treated as one that may have run,
+    /// and its pause starts anew; a call whose end is not known is released once more, which does no harm.
     pub fn durability(&self) -> Durability {
         match self {
-            Step::Begins { .. } | Step::Answered(_) => Durability::Before,
-            Step::Taken { .. } | Step::Unsure(_) | Step::NeverRan | Step::Ends => Durability::Lazy,
+            CallEvent::AttemptStarted { .. } | CallEvent::Answered(_) => Durability::BeforeSending,
+            CallEvent::Accepted { .. }
+            | CallEvent::MayHaveRun(_)
+            | CallEvent::DidNotRun
+            | CallEvent::Ended => Durability::Deferred,
         }
     }
 }
@@ -94,109 +99,111 @@
 /// One record of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// When, by the Unix clock.
+    /// Time of the event, in Unix time.
     pub at: Micros,
-    /// The call.
+    /// Name of the call.
     pub call: CallName,
-    /// What happened.
-    pub step: Step,
+    /// What happened to the call.
+    pub event: CallEvent,
 }
 
-/// Where a call is.
+/// State of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// Between attempts; nothing before this time.
-    Waits(Micros),
-    /// An attempt is out, or may be.
-    Out(u64, Identity),
-    /// It stands at a hub, with the attempt's number and the description that was answered.
-    Stands(u64, Identity, Vec<u8>),
-    /// It was refused or failed.
-    Over(Answer),
+pub enum CallState {
+    /// No attempt is in progress, and none may start before this time.
+    Waiting(Micros),
+    /// An attempt with this number is, or may be, in progress at this hub.
+    Attempting(u64, Identity),
+    /// The call is established at a hub; with the attempt's number, the hub and the description in the answer.
+    Established(u64, Identity, Vec<u8>),
+    /// The call was refused or failed.
+    Answered(Answer),
 }
 
-/// One call.
+/// One call of a [`CallTable`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// When its last step was.
+    /// Time of the call's latest event.
     pub at: Micros,
-    /// Its front, class, number, place of first choice and deadline.
+    /// Index of the front that the call came in at.
     pub front: usize,
-    /// The class's name.
+    /// Name of the call's class.
     pub class: Arc<str>,
     /// The number called.
     pub number: Arc<str>,
     /// The place of first choice.
-    pub first: i64,
-    /// When its caller stops waiting.
+    pub place: i64,
+    /// Time at which the caller stops waiting.
     pub deadline: Micros,
-    /// Attempts so far.
-    pub sent: u32,
-    /// Where it is.
-    pub place: Place,
+    /// Number of attempts so far.
+    pub attempts: u32,
+    /// State of the call.
+    pub state: CallState,
 }
 
-/// A step that does not fit where its call is. It changes nothing.
+/// Error of an event that is not valid in its call's state, or for which the table has no room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Misfit;
+pub struct RejectedEvent;
 
-/// The table of calls, as its steps tell it.
+/// The table of calls that results from the entries applied to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ledger {
+pub struct CallTable {
     calls: HashMap<CallName, Call>,
     last_attempt: u64,
     latest: Micros,
 }
 
-impl Ledger {
-    /// Takes a step.
+impl CallTable {
+    /// Applies an entry.
     ///
     /// # Errors
-    /// [`Misfit`] where the call is unknown or known already, where an attempt begins while one is out or its
-    /// pause lasts, where a number runs backwards, where a second final answer is given, or the table is full.
-    pub fn take(&mut self, entry: &Entry) -> Result<(), Misfit> {
-        let Entry { at, call: name, step } = entry;
-        if let Step::Taken { front, class, number, place, deadline } = step {
-            if self.calls.contains_key(name) || self.calls.len() >= CALLS_MOST {
-                return Err(Misfit);
+    /// [`RejectedEvent`] if the call is unknown or already known, if an attempt starts while another is in progress
+    /// or during the pause after it, if an attempt's number does not increase or its count of earlier attempts is
+    /// wrong, if a second final answer is given, or if the table is full. The table does not change then.
+    pub fn apply(&mut self, entry: &Entry) -> Result<(), RejectedEvent> {
+        let Entry { at, call: name, event } = entry;
+        if let CallEvent::Accepted { front, class, number, place, deadline } = event {
+            if self.calls.contains_key(name) || self.calls.len() >= MAX_CALLS {
+                return Err(RejectedEvent);
             }
             let call = Call {
                 at: *at,
                 front: *front,
                 class: class.clone(),
                 number: number.clone(),
-                first: *place,
+                place: *place,
                 deadline: *deadline,
-                sent: 0,
-                place: Place::Waits(Micros(0)),
+                attempts: 0,
+                state: CallState::Waiting(Micros(0)),
             };
             self.calls.insert(*name, call);
         } else {
-            let last = self.last_attempt;
-            let call = self.calls.get_mut(name).ok_or(Misfit)?;
-            let place = match (step, &call.place) {
-                (Step::Begins { attempt, sent, hub }, Place::Waits(until)) => {
-                    // Danger: the numbers of attempts are what a late message is told from a new one by.
-                    if *attempt <= last || *sent != call.sent || at < until {
-                        return Err(Misfit);
+            let last_attempt = self.last_attempt;
+            let call = self.calls.get_mut(name).ok_or(RejectedEvent)?;
+            let state = match (event, &call.state) {
+                (CallEvent::AttemptStarted { attempt, attempts_before, hub }, CallState::Waiting(until)) => {
+                    // Late messages are recognised by the numbers of their attempts, so no number may be used twice.
+                    if *attempt <= last_attempt || *attempts_before != call.attempts || at < until {
+                        return Err(RejectedEvent);
                     }
-                    (self.last_attempt, call.sent) = (*attempt, sent + 1);
-                    Some(Place::Out(*attempt, hub.clone()))
-                }
-                (Step::Unsure(until), Place::Out(..)) => Some(Place::Waits(*until)),
-                (Step::NeverRan, Place::Out(..)) => Some(Place::Waits(Micros(0))),
-                (Step::Answered(Answer::Stands(description)), Place::Out(attempt, hub)) => {
-                    Some(Place::Stands(*attempt, hub.clone(), description.clone()))
+                    (self.last_attempt, call.attempts) = (*attempt, attempts_before + 1);
+                    Some(CallState::Attempting(*attempt, hub.clone()))
                 }
-                (Step::Answered(Answer::Stands(_)), _) => return Err(Misfit),
-                (Step::Answered(answer), Place::Waits(_) | Place::Out(..)) => {
-                    Some(Place::Over(answer.clone()))
+                (CallEvent::MayHaveRun(until), CallState::Attempting(..)) => Some(CallState::Waiting(*until)),
+                (CallEvent::DidNotRun, CallState::Attempting(..)) => Some(CallState::Waiting(Micros(0))),
+                (
+                    CallEvent::Answered(Answer::Established(description)),
+                    CallState::Attempting(attempt, hub),
+                ) => Some(CallState::Established(*attempt, hub.clone(), description.clone())),
+                (CallEvent::Answered(Answer::Established(_)), _) => return Err(RejectedEvent),
+                (CallEvent::Answered(answer), CallState::Waiting(_) | CallState::Attempting(..)) => {
+                    Some(CallState::Answered(answer.clone()))
                 }
-                (Step::Ends, _) => None,
-                _ => return Err(Misfit),
+                (CallEvent::Ended, _) => None,
+                _ => return Err(RejectedEvent),
             };
-            match place {
-                Some(place) => (call.at, call.place) = (*at, place),
+            match state {
+                Some(state) => (call.at, call.state) = (*at, state),
                 None => drop(self.calls.remove(name)),
             }
         }
@@ -204,121 +211,126 @@
         Ok(())
     }
 
-    /// Forgets refused calls that nobody asks for any more; called now and then.
-    pub fn age(&mut self, now: Micros) {
-        self.calls.retain(|_, c| !matches!(c.place, Place::Over(_)) || c.at + ANSWERS_KEPT >= now);
+    /// Removes refused and failed calls whose [`ANSWER_RETENTION`] is over. Called from time to time.
+    pub fn remove_expired_answers(&mut self, now: Micros) {
+        self.calls
+            .retain(|_, c| !matches!(c.state, CallState::Answered(_)) || c.at + ANSWER_RETENTION >= now);
     }
 
-    /// A call.
+    /// Returns the call of this name.
     pub fn get(&self, name: CallName) -> Option<&Call> {
         self.calls.get(&name)
     }
 
-    /// How many calls it knows.
+    /// Returns the number of calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether it knows none.
+    /// Returns whether there are no calls.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// The last attempt's number: a start goes on after it.
+    /// Returns the number of the latest attempt. After a start, numbering continues from it.
     pub fn last_attempt(&self) -> u64 {
         self.last_attempt
     }
 
-    /// What a start makes of the calls that it finds, each with what is to be done, in the order of their names.
-    /// `life` tells what is known of the process that a call went to; `pause` is how long nothing may be sent
-    /// after an attempt that may have run.
+    /// Returns the calls that a start finds, each with the action to take, in the order of their names.
+    /// `hub_status` tells what is known of the process that a call went to; `pause` is the time for which nothing
+    /// may be sent after an attempt that may have run.
     ///
-    /// Danger: the clock may have been set back while the program was down. No pause and no deadline is believed
-    /// then; both count from now, by what was left of them when the last step was written.
+    /// The clock may have been set back while the program was down. Stored pauses and deadlines are not comparable
+    /// with the clock then; both are counted from now, by the time that remained when the call's latest entry was
+    /// written.
     pub fn recover(
         &self,
         now: Micros,
         pause: Micros,
-        life: impl Fn(&Identity) -> Life,
-    ) -> Vec<(CallName, Verdict)> {
-        let back = self.latest > now + AHEAD;
-        let mut verdicts: Vec<(CallName, Verdict)> = self
+        hub_status: impl Fn(&Identity) -> HubStatus,
+    ) -> Vec<(CallName, RecoveryAction)> {
+        let clock_set_back = self.latest > now + MAX_CLOCK_LAG;
+        let mut actions: Vec<(CallName, RecoveryAction)> = self
             .calls
             .iter()
             .map(|(name, call)| {
-                let shift = |at: Micros| if back { now + (at - call.at) } else { at };
+                let shift = |at: Micros| if clock_set_back { now + (at - call.at) } else { at };
                 let deadline = shift(call.deadline);
-                let verdict = match &call.place {
-                    Place::Stands(attempt, hub, description) => match life(hub) {
-                        Life::Same => Verdict::GoesOn { attempt: *attempt, description: description.clone() },
-                        // It is not known to the caller that the hub is gone: it hears so now.
-                        Life::Other => Verdict::Release,
+                let action = match &call.state {
+                    CallState::Established(attempt, hub, description) => match hub_status(hub) {
+                        HubStatus::Same => {
+                            RecoveryAction::Resume { attempt: *attempt, description: description.clone() }
+                        }
+                        // The caller does not know yet that the hub is gone.
+                        HubStatus::Gone => RecoveryAction::Release,
                     },
-                    Place::Over(answer) => Verdict::Answered(answer.clone()),
-                    _ if deadline <= now => Verdict::Late(attempt_of(call)),
-                    Place::Waits(until) => {
-                        // What was left of the pause, and never more than a whole one.
+                    CallState::Answered(answer) => RecoveryAction::RepeatAnswer(answer.clone()),
+                    _ if deadline <= now => RecoveryAction::Expired(attempt_in_progress(call)),
+                    CallState::Waiting(until) => {
+                        // The rest of the pause, but never more than a whole one.
                         let not_before = shift(*until).min(now + pause);
-                        Verdict::Again { not_before, deadline, sent: call.sent, give_up: None }
+                        RecoveryAction::Retry { not_before, deadline, attempts: call.attempts, give_up: None }
                     }
-                    // It may have gone out in the last moment before the end. Nothing is safe but to give it up
-                    // at its hub, and to count the pause from now.
-                    Place::Out(attempt, hub) => Verdict::Again {
+                    // The attempt may have been sent just before the program ended. The only safe choice is to
+                    // give it up at its hub and to count the pause from now.
+                    CallState::Attempting(attempt, hub) => RecoveryAction::Retry {
                         not_before: now + pause,
                         deadline,
-                        sent: call.sent,
-                        give_up: (life(hub) == Life::Same).then_some(*attempt),
+                        attempts: call.attempts,
+                        give_up: (hub_status(hub) == HubStatus::Same).then_some(*attempt),
                     },
                 };
-                (*name, verdict)
+                (*name, action)
             })
             .collect();
-        verdicts.sort_by_key(|(name, _)| *name);
-        verdicts
+        actions.sort_by_key(|(name, _)| *name);
+        actions
     }
 }
 
-fn attempt_of(call: &Call) -> Option<u64> {
-    match &call.place {
-        Place::Out(attempt, _) => Some(*attempt),
+fn attempt_in_progress(call: &Call) -> Option<u64> {
+    match &call.state {
+        CallState::Attempting(attempt, _) => Some(*attempt),
         _ => None,
     }
 }
 
-/// What is known of a process at a start.
+/// What a start knows of the hub process that a call went to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
-    /// It is listed, with the same start and address; in service or draining.
+pub enum HubStatus {
+    /// The process is listed with the same start time and address, in service or draining.
     Same,
-    /// It is gone, another one has its name or address, or nobody lists it.
-    Other,
+    /// The process is gone or not listed, or another process has its name or address.
+    Gone,
 }
 
-/// What becomes of a call that was found.
+/// How a start continues a call that it finds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It stands: either side may end it, and its caller may ask for the answer again.
-    GoesOn {
-        /// The attempt that it stands by.
+pub enum RecoveryAction {
+    /// The call is established: either side may end it, and its caller may ask for the answer again.
+    Resume {
+        /// Number of the attempt that established the call.
         attempt: u64,
-        /// The description that was answered.
+        /// The description in the answer.
         description: Vec<u8>,
     },
-    /// It stood, and its hub is gone: released towards its caller with cause 41.
+    /// The call was established and its hub is gone: it is released towards its caller with cause 41.
     Release,
-    /// It has its final answer, which a caller that asks again gets, and no other.
-    Answered(Answer),
-    /// It goes on where it was, if its caller comes back: not before this time, with the attempts that it had.
-    Again {
-        /// No attempt before this.
+    /// The call has its final answer: a caller that asks again gets this answer and no other.
+    RepeatAnswer(Answer),
+    /// The call continues if its caller offers it again.
+    Retry {
+        /// Time before which no attempt may start.
         not_before: Micros,
-        /// When its caller stops waiting.
+        /// Time at which the caller stops waiting.
         deadline: Micros,
-        /// Attempts that it had.
-        sent: u32,
-        /// The attempt to give up at its hub first.
+        /// Number of attempts that the call has had.
+        attempts: u32,
+        /// Number of the attempt to give up at its hub first, if any.
         give_up: Option<u64>,
     },
-    /// Its time was up while the program was down; the attempt that may still be out is given up.
-    Late(Option<u64>),
+    /// The call's deadline passed while the program was down. The attempt with this number, if any, may still be in
+    /// progress and is given up.
+    Expired(Option<u64>),
 }
