--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -125,7 +125,7 @@
     /// Number of records passed to the visitor.
     pub records: u64,
     /// Last sequence in use: of a record that was visited or lost, or that the checkpoint covers.
-    pub last: u64,
+    pub last_sequence: u64,
     /// What could not be read, in the order of the segments.
     pub issues: Vec<ReplayIssue>,
 }
@@ -188,7 +188,7 @@
         covered: u64,
         mut visit: impl FnMut(u16, Record),
     ) -> io::Result<ReplaySummary> {
-        let mut summary = ReplaySummary { last: covered, ..ReplaySummary::default() };
+        let mut summary = ReplaySummary { last_sequence: covered, ..ReplaySummary::default() };
         let numbers = self.segment_numbers(disk)?;
         let mut previous: Option<Segment> = None;
         for number in &numbers {
@@ -206,7 +206,7 @@
             disk.sync(&self.segment_file(*last))?;
         }
         self.segment = numbers.last().copied().unwrap_or(0);
-        self.next_sequence = summary.last + 1;
+        self.next_sequence = summary.last_sequence + 1;
         self.writable = false;
         Ok(summary)
     }
@@ -342,10 +342,10 @@
 ) {
     let end = next_first.unwrap_or(u64::MAX);
     // Older segments are missing, and no checkpoint covers their records.
-    if segment.first_sequence > summary.last + 1 {
-        let (from, to) = (summary.last + 1, segment.first_sequence);
+    if segment.first_sequence > summary.last_sequence + 1 {
+        let (from, to) = (summary.last_sequence + 1, segment.first_sequence);
         summary.issues.push(ReplayIssue::Lost { file: None, offset: 0, from, to });
-        summary.last = segment.first_sequence - 1;
+        summary.last_sequence = segment.first_sequence - 1;
     }
     let (mut offset, mut expected) = (SEGMENT_HEADER_BYTES, segment.first_sequence);
     let error = loop {
@@ -356,8 +356,8 @@
                 offset += RECORD_HEADER_BYTES + record.payload.len();
                 expected += 1;
                 // Records from the first sequence of the next segment on were never committed here.
-                if record.sequence < end && record.sequence > summary.last {
-                    summary.last = record.sequence;
+                if record.sequence < end && record.sequence > summary.last_sequence {
+                    summary.last_sequence = record.sequence;
                     summary.records += 1;
                     visit(segment.version, record);
                 }
@@ -366,10 +366,10 @@
         }
     };
     let file = segment.file.clone();
-    if next_first.is_some() && expected < end && summary.last + 1 < end {
-        let from = summary.last + 1;
+    if next_first.is_some() && expected < end && summary.last_sequence + 1 < end {
+        let from = summary.last_sequence + 1;
         summary.issues.push(ReplayIssue::Lost { file: Some(file), offset, from, to: end });
-        summary.last = end - 1;
+        summary.last_sequence = end - 1;
     } else if let Some(error) = error {
         summary.issues.push(ReplayIssue::TornTail { file, offset, error });
     }
