--- a/src/cli.rs
+++ b/src/cli.rs
@@ -8,7 +8,7 @@
 use crate::interface::Micros;
 use crate::learning::{LearnedHub, LearnedState};
 use crate::state::{self, CheckedFile};
-use crate::store::LOCK;
+use crate::store::LOCK_FILE;
 use clap::{Parser, Subcommand};
 use miniserde::{json, Serialize};
 use std::fmt::Write;
@@ -288,7 +288,7 @@
         }
         StateCommand::Forget { folder } => {
             // Opening a folder creates a lock file in it. A mistyped path must not get one.
-            if !folder.join(LOCK).exists() {
+            if !folder.join(LOCK_FILE).exists() {
                 return Err(error(folder, &"no state folder"));
             }
             state::forget(folder).map_err(|e| error(folder, &e))?;
--- a/src/state.rs
+++ b/src/state.rs
@@ -57,9 +57,9 @@
         }
         let folder = self.folder.insert(Folder::open(&self.path)?);
         let loaded = self.snapshots.load(folder, decode_payload);
-        for aside in &loaded.aside {
-            let to = aside.to.as_deref().unwrap_or("its own name, because it cannot be renamed");
-            tracing::warn!(file = %aside.file, "state: {}; set aside as {to}", aside.fault);
+        for aside in &loaded.set_aside {
+            let to = aside.renamed_to.as_deref().unwrap_or("its own name, because it cannot be renamed");
+            tracing::warn!(file = %aside.file, "state: {}; set aside as {to}", aside.error);
         }
         Ok(Some(loaded))
     }
@@ -122,7 +122,7 @@
 
 /// Prepares the loaded state for restoring and logs how much of it is used.
 fn restore(loaded: Loaded<LearnedState>, state: &StateConfig, now: Micros) -> Option<RestoredState> {
-    let learned = loaded.found?;
+    let learned = loaded.value?;
     let age = (now - learned.at).secs();
     let (restored, summary) = RestoredState::new(learned, state.decay.clone(), now);
     let what = match (summary.from_future, summary.too_old) {
@@ -185,7 +185,7 @@
 /// The folder is in use by another process or cannot be changed.
 pub fn forget(path: &Path) -> Result<(), OpenError> {
     let mut folder = Folder::open(path)?;
-    Ok(snapshots().forget(&mut folder)?)
+    Ok(snapshots().remove_all(&mut folder)?)
 }
 
 /// Checks every file that may hold learned state, including those that were set aside. Changes no file.
@@ -193,10 +193,10 @@
 /// # Errors
 /// The folder cannot be read.
 pub fn check_files(path: &Path) -> io::Result<Vec<CheckedFile>> {
-    let mut folder = Folder::look(path)?;
+    let mut folder = Folder::open_read_only(path)?;
     let snapshots = snapshots();
     let loadable = snapshots.files();
-    let mut set_aside = folder.names()?;
+    let mut set_aside = folder.file_names()?;
     set_aside.retain(|n| n.starts_with(&format!("{LEARNED_STATE_FILE}.bad-")));
     set_aside.sort();
     let mut checked = Vec::new();
