--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -3,7 +3,7 @@
 
 use petreldock::fleet::lease::claim::{Claim, Step};
 use petreldock::fleet::lease::voter::Voter;
-use petreldock::fleet::lease::{Answer, Ask, BoundedTask, Epoch, Holder, Task, Terms, TERM_MOST};
+use petreldock::fleet::lease::{Answer, Ask, BoundedTask, Epoch, Holder, Task, Terms, MAX_TERM};
 use petreldock::interface::Micros;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -13,7 +13,7 @@
 use std::fmt;
 
 /// A term is four of these by a voter's clock.
-const UNIT: u64 = TERM_MOST.0 / 4;
+const UNIT: u64 = MAX_TERM.0 / 4;
 const TASK: Task = Task::Bounded(BoundedTask::Probe(1));
 /// The Unix time at which a run starts.
 const START: u64 = 1_700_000_000_000_000;
@@ -88,7 +88,7 @@
 }
 
 fn holder(claim: usize, life: u64) -> Holder {
-    Holder { address: ([127, 0, 0, 1 + claim as u8], 7946).into(), life }
+    Holder { address: ([127, 0, 0, 1 + claim as u8], 7946).into(), instance_id: life }
 }
 
 impl Lease {
@@ -97,7 +97,7 @@
     }
 
     fn claim(&self, claim: usize, life: u64) -> Claim {
-        let terms = Terms { voter: TERM_MOST, holder: Micros(self.holder * UNIT) };
+        let terms = Terms { voter: MAX_TERM, holder: Micros(self.holder * UNIT) };
         Claim::new(holder(claim, life), self.counted, terms)
     }
 
@@ -113,7 +113,7 @@
         let now = self.clock(self.voters[voter], time);
         match self.silent {
             true => Voter::new(now),
-            false => Voter::new(Micros(now.0 - TERM_MOST.0)),
+            false => Voter::new(Micros(now.0 - MAX_TERM.0)),
         }
     }
 }
@@ -125,7 +125,7 @@
     fn init_states(&self) -> Vec<State> {
         let count = self.claims.len();
         // Voters have been there for long: their silence is over.
-        let voters = (0..self.voters.len()).map(|v| Voter::new(self.clock(self.voters[v], 0) - TERM_MOST));
+        let voters = (0..self.voters.len()).map(|v| Voter::new(self.clock(self.voters[v], 0) - MAX_TERM));
         vec![State {
             time: 0,
             voters: voters.collect(),
@@ -183,8 +183,8 @@
             }
             Happens::Comes(Packet::Ask(claim, voter, ask)) => {
                 let by = match ask {
-                    Ask::Prepare(b) | Ask::Propose(b, ..) => b.by.life,
-                    Ask::Release(h, _) => h.life,
+                    Ask::Prepare(b) | Ask::Propose(b, ..) => b.proposer.instance_id,
+                    Ask::Release(h, _) => h.instance_id,
                 };
                 let now = self.clock(self.voters[voter], state.time);
                 if let Some(answer) = state.voters[voter].handle(now, TASK, ask) {
@@ -225,7 +225,7 @@
                 let (Answer::Promised(of, _)
                 | Answer::Accepted(of)
                 | Answer::Held(of, ..)
-                | Answer::Older(of, _)) = answer;
+                | Answer::Superseded(of, _)) = answer;
                 lives[*claim] == *life && claims[*claim].ballot() == Some(*of)
             }
         });
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::view::quantiles;
 use clap::Args;
 use miniserde::json;
-use petreldock::fleet::show::Shown;
+use petreldock::fleet::show::FleetStatus;
 use petreldock_lab::processes::Processes;
 use petreldock_lab::program::{target, ChangeLog, Site};
 use petreldock_lab::script::{Act, Script, Who};
@@ -150,8 +150,10 @@
     let start = Instant::now();
     while start.elapsed() < AGREE_MOST {
         let running = processes.running();
-        let views: Vec<Shown> =
-            running.iter().filter_map(|n| json::from_str::<Shown>(&processes.show(*n, true)?).ok()).collect();
+        let views: Vec<FleetStatus> = running
+            .iter()
+            .filter_map(|n| json::from_str::<FleetStatus>(&processes.show(*n, true)?).ok())
+            .collect();
         if views.len() == running.len()
             && views.iter().all(|v| v.hash == views[0].hash && v.live == running.len())
         {
--- a/lab/src/net.rs
+++ b/lab/src/net.rs
@@ -3,8 +3,8 @@
 
 use crate::script::{Act, Faults, Script, Who};
 use petreldock::fleet::view::facts::Facts;
-use petreldock::fleet::view::{Event, News, Out, Setup, View};
-use petreldock::fleet::wire::{checksum, Identity, DATAGRAM_MOST};
+use petreldock::fleet::view::{Event, Notification, Output, View, ViewConfig};
+use petreldock::fleet::wire::{checksum, Identity, MAX_DATAGRAM_BYTES};
 use petreldock::interface::Micros;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -79,7 +79,7 @@
     /// Who said it.
     pub by: usize,
     /// What.
-    pub news: News,
+    pub news: Notification,
 }
 
 /// The network and its members.
@@ -111,7 +111,7 @@
 /// Makes a datagram one of a later form: another version, and something after the body, where there is room.
 pub fn later(bytes: &mut Vec<u8>) {
     bytes[2] += 1;
-    if bytes.len() + 8 <= DATAGRAM_MOST {
+    if bytes.len() + 8 <= MAX_DATAGRAM_BYTES {
         bytes.extend_from_slice(b"\x09further");
     }
     let sum = checksum(bytes);
@@ -210,7 +210,7 @@
             address: node.address,
             generation: now.0 / 1000,
         };
-        let setup = Setup {
+        let setup = ViewConfig {
             fleet: "lab".into(),
             own,
             seeds: (0..plan.seeds).map(address).collect(),
@@ -245,7 +245,7 @@
     }
 
     /// Its view now, as an operator sees it.
-    pub fn members(&self, n: usize) -> Vec<petreldock::fleet::view::Seen> {
+    pub fn members(&self, n: usize) -> Vec<petreldock::fleet::view::MemberInfo> {
         self.view(n).map_or(Vec::new(), |v| v.members(self.clock(n)))
     }
 
@@ -295,7 +295,7 @@
                         let offered = self.nodes[n].stated;
                         let facts = Facts { offered, program: "0.1.0".into(), ..Facts::default() };
                         if !self.nodes[n].paused {
-                            self.tell(n, Event::Own(facts));
+                            self.tell(n, Event::OwnFacts(facts));
                         }
                     }
                     self.plan(self.plan.facts_ms * 1000, Happens::Facts);
@@ -327,7 +327,7 @@
             self.tell(n, Event::Datagram(from, &bytes));
         }
         let now = self.clock(n);
-        if self.view(n).is_some_and(|v| v.next() <= now) {
+        if self.view(n).is_some_and(|v| v.next_wake() <= now) {
             self.tell(n, Event::Wake);
         }
         self.after(n);
@@ -341,8 +341,8 @@
         }
         for out in out {
             match out {
-                Out::News(news) => self.said.push(Said { at: self.now, by: n, news }),
-                Out::Send(to, bytes) => self.carry(n, to, bytes),
+                Output::Notify(news) => self.said.push(Said { at: self.now, by: n, news }),
+                Output::Send(to, bytes) => self.carry(n, to, bytes),
             }
         }
     }
@@ -370,7 +370,7 @@
     /// Plans the next wake.
     fn after(&mut self, n: usize) {
         let now = self.clock(n);
-        let Some(next) = self.view(n).map(View::next) else { return };
+        let Some(next) = self.view(n).map(View::next_wake) else { return };
         let wait = (next - now).0 as i64;
         // By the true time; a slow clock needs longer.
         let wait = (wait - wait * self.nodes[n].ppm / 1_000_000).max(0) as u64 + 1;
--- a/lab/src/view.rs
+++ b/lab/src/view.rs
@@ -2,7 +2,7 @@
 
 use clap::Args;
 use hdrhistogram::Histogram;
-use petreldock::fleet::view::News;
+use petreldock::fleet::view::Notification;
 use petreldock_lab::net::{Net, Plan};
 use petreldock_lab::script::{Act, Script, Who};
 use rand::rngs::StdRng;
@@ -82,7 +82,7 @@
         let address = petreldock_lab::net::address(victim);
         let mut noticed = 0;
         for said in net.said.iter() {
-            if matches!(&said.news, News::Gone(i) if i.address == address) {
+            if matches!(&said.news, Notification::MemberDown(i) if i.address == address) {
                 figures.detected.push((said.at - at) / 1000);
                 noticed += 1;
             }
@@ -105,7 +105,8 @@
     };
     let first = suspected(&net);
     net.run(minutes * 60_000);
-    figures.false_gone = net.said.iter().filter(|s| matches!(s.news, News::Gone(_))).count() as u64;
+    figures.false_gone =
+        net.said.iter().filter(|s| matches!(s.news, Notification::MemberDown(_))).count() as u64;
     figures.suspicions_an_hour = (suspected(&net) - first) as f64 * 60.0 / minutes.max(1) as f64;
     figures
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,8 +1,8 @@
 //! The command line. Without a command the program serves.
 
 use crate::config::{Config, Operator, CONFIG_VARIABLE, LISTEN_VARIABLE, NAME_VARIABLE, OPERATOR_VARIABLE};
-use crate::fleet::show::{self, Shown as ShownFleet};
-use crate::fleet::wire::{self, Identity, Kind, DATAGRAM_MOST};
+use crate::fleet::show::{self, FleetStatus};
+use crate::fleet::wire::{self, Identity, Kind, MAX_DATAGRAM_BYTES};
 use crate::interface::Micros;
 use crate::learning::{LearnedHub, LearnedState};
 use crate::state::{self, Examined};
@@ -163,8 +163,8 @@
     if *json {
         return Ok(Printed { text: text + "\n", good: true });
     }
-    let shown: ShownFleet = json::from_str(&text).map_err(|_| format!("{address}: no view of a fleet"))?;
-    Ok(Printed { text: show::table(&shown), good: true })
+    let shown: FleetStatus = json::from_str(&text).map_err(|_| format!("{address}: no view of a fleet"))?;
+    Ok(Printed { text: show::format_table(&shown), good: true })
 }
 
 fn ask(address: SocketAddr) -> std::io::Result<String> {
@@ -176,19 +176,25 @@
     let nonce = u64::from(std::process::id()) << 32 | u64::from(socket.local_addr()?.port());
     let (mut text, mut page, mut pages) = (Vec::new(), 0, 1);
     let end = Instant::now() + ASKED_MOST;
-    let mut buffer = [0; DATAGRAM_MOST];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     while page < pages {
         if Instant::now() > end {
             return Err(std::io::Error::new(std::io::ErrorKind::TimedOut, "no answer"));
         }
         let body: Vec<u8> = [nonce, page].iter().flat_map(|n| n.to_be_bytes()).collect();
-        socket.send(&wire::seal("", &Identity::at(socket.local_addr()?), Kind::Ask, false, &body))?;
+        socket.send(&wire::encode_datagram(
+            "",
+            &Identity::from_address(socket.local_addr()?),
+            Kind::StatusRequest,
+            false,
+            &body,
+        ))?;
         let asked = Instant::now();
         while asked.elapsed() < ASKED_AGAIN {
             let Ok(length) = socket.recv(&mut buffer) else { continue };
-            let Ok(told) = wire::open("", &buffer[..length]) else { continue };
-            let Some(([n, p, of], part)) = show::read_page(told.body) else { continue };
-            if told.kind == Kind::Told && n == nonce && p == page && of <= show::PAGES_MOST {
+            let Ok(told) = wire::decode_datagram("", &buffer[..length]) else { continue };
+            let Some(([n, p, of], part)) = show::decode_page(told.body) else { continue };
+            if told.kind == Kind::StatusPage && n == nonce && p == page && of <= show::MAX_PAGES {
                 text.extend_from_slice(part);
                 (page, pages) = (page + 1, of);
                 break;
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
 //! The one place where configuration is read, checked and given defaults: the simulator's `init`,
 //! the platform's environment and JSON, and the operator's file. Errors name the faulty key by its path.
 
-use crate::fleet::wire::{LABEL_MOST, NAME_MOST};
+use crate::fleet::wire::{MAX_LABEL_BYTES, MAX_NAME_BYTES};
 use crate::interface::*;
 use crate::learning::DecaySettings;
 use ipnet::IpNet;
@@ -471,8 +471,8 @@
         if let Some(file) = get(OPERATOR_VARIABLE) {
             let value = parse(&load(OPERATOR_VARIABLE, &file)?, OPERATOR_VARIABLE)?;
             config.operator = Operator::read(&At::root(&value, ""), &config.names)?;
-            if config.operator.fleet.is_some() && !(1..=NAME_MOST).contains(&config.name.len()) {
-                return Err(wrong("name", format!("expected 1 to {NAME_MOST} bytes, for the fleet")));
+            if config.operator.fleet.is_some() && !(1..=MAX_NAME_BYTES).contains(&config.name.len()) {
+                return Err(wrong("name", format!("expected 1 to {MAX_NAME_BYTES} bytes, for the fleet")));
             }
         }
         Ok(config)
@@ -557,8 +557,8 @@
 impl Fleet {
     fn read(at: &At) -> Read<Fleet> {
         let label = |at: At, least: usize| match at.text()? {
-            text if (least..=LABEL_MOST).contains(&text.len()) => Ok(text.to_string()),
-            _ => Err(at.expected(&format!("a name of {least} to {LABEL_MOST} bytes"))),
+            text if (least..=MAX_LABEL_BYTES).contains(&text.len()) => Ok(text.to_string()),
+            _ => Err(at.expected(&format!("a name of {least} to {MAX_LABEL_BYTES} bytes"))),
         };
         fn few<'a>(at: &At<'a>) -> Read<Vec<At<'a>>> {
             match at.list()? {
--- a/src/fleet/lease/spread/tests.rs
+++ b/src/fleet/lease/assignment/tests.rs
@@ -11,8 +11,8 @@
     range.map(|n| (n, n * 104_729)).collect()
 }
 
-fn loads(given: &BTreeMap<Task, u64>) -> BTreeMap<u64, usize> {
-    given.values().fold(BTreeMap::new(), |mut l, m| {
+fn loads(assigned: &BTreeMap<Task, u64>) -> BTreeMap<u64, usize> {
+    assigned.values().fold(BTreeMap::new(), |mut l, m| {
         *l.entry(*m).or_default() += 1;
         l
     })
@@ -20,9 +20,9 @@
 
 #[test]
 fn a_thousand_tasks_are_shared_evenly_by_three_hundred() {
-    let given = assign(&tasks(1_024), &members(0..300), &BTreeMap::new());
-    assert_eq!(given.len(), 1_024, "all have somebody");
-    let (most, mean) = (loads(&given).values().copied().max().unwrap_or(0), 1_024.0 / 300.0);
+    let assigned = assign(&tasks(1_024), &members(0..300), &BTreeMap::new());
+    assert_eq!(assigned.len(), 1_024, "all have somebody");
+    let (most, mean) = (loads(&assigned).values().copied().max().unwrap_or(0), 1_024.0 / 300.0);
     assert!(most as f64 / mean <= 1.3, "{most} against a mean of {mean:.2}");
 }
 
@@ -43,7 +43,10 @@
     let left = assign(&tasks(1_024), &members(1..300), &before);
     assert_eq!(moved(&left), loads(&before).get(&0).copied().unwrap_or(0), "its own alone");
     let halved = assign(&tasks(1_024), &members(0..600), &before);
-    assert!(loads(&halved).values().all(|l| *l <= most(1_024, 600)), "who is over its part gives some up");
+    assert!(
+        loads(&halved).values().all(|l| *l <= max_tasks_per_member(1_024, 600)),
+        "who is over its part gives some up"
+    );
 }
 
 #[test]
--- a/src/fleet/lease/claim.rs
+++ b/src/fleet/lease/claim.rs
@@ -19,7 +19,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Stage {
+enum Phase {
     Idle,
     Preparing { ballot: Ballot, votes: Votes, newest: Epoch, since: Micros },
     Proposing { ballot: Ballot, votes: Votes, epoch: Epoch, sent: Micros },
@@ -35,7 +35,7 @@
     /// The lease is held, or held longer.
     Held(Epoch),
     /// Somebody else holds it, for so long still by one voter's clock.
-    Taken(Holder, Micros),
+    HeldByOther(Holder, Micros),
     /// Another asks at the same time; try again a little later.
     Contended,
 }
@@ -47,14 +47,14 @@
     voters: usize,
     terms: Terms,
     round: u64,
-    stage: Stage,
+    phase: Phase,
     held: Option<(Epoch, Micros)>,
 }
 
 impl Claim {
     /// A claim that holds nothing, before so many voters.
     pub fn new(own: Holder, voters: usize, terms: Terms) -> Claim {
-        Claim { own, voters, terms, round: 0, stage: Stage::Idle, held: None }
+        Claim { own, voters, terms, round: 0, phase: Phase::Idle, held: None }
     }
 
     /// Under which epoch it is held now, if it is.
@@ -63,50 +63,50 @@
     }
 
     /// Until when it is held, by the own clock.
-    pub fn until(&self, now: Micros) -> Option<Micros> {
+    pub fn held_until(&self, now: Micros) -> Option<Micros> {
         self.held.filter(|(_, until)| now < *until).map(|(_, until)| until)
     }
 
     /// Whether an act that takes so long may begin now: it is over before the lease is. To be asked at the act itself.
     pub fn may_act(&self, now: Micros, takes: Micros) -> bool {
-        self.until(now).is_some_and(|until| now + takes <= until)
+        self.held_until(now).is_some_and(|until| now + takes <= until)
     }
 
     /// What it is asking under, if it is: answers to anything else change nothing.
     pub fn ballot(&self) -> Option<Ballot> {
-        match self.stage {
-            Stage::Idle => None,
-            Stage::Preparing { ballot, .. } | Stage::Proposing { ballot, .. } => Some(ballot),
+        match self.phase {
+            Phase::Idle => None,
+            Phase::Preparing { ballot, .. } | Phase::Proposing { ballot, .. } => Some(ballot),
         }
     }
 
     /// Since when it has been asking, if it has.
-    pub fn asking(&self) -> Option<Micros> {
-        match self.stage {
-            Stage::Idle => None,
-            Stage::Preparing { since, .. } => Some(since),
-            Stage::Proposing { sent, .. } => Some(sent),
+    pub fn asking_since(&self) -> Option<Micros> {
+        match self.phase {
+            Phase::Idle => None,
+            Phase::Preparing { since, .. } => Some(since),
+            Phase::Proposing { sent, .. } => Some(sent),
         }
     }
 
     /// Asks anew: for a renewal if it is held, else whether it is free. What was asked before counts no more.
     pub fn ask(&mut self, now: Micros) -> Ask {
         self.round += 1;
-        let ballot = Ballot { round: self.round, by: self.own };
+        let ballot = Ballot { round: self.round, proposer: self.own };
         match self.held(now) {
             // Nobody else can have held it meanwhile, so that the epoch stays.
             Some(epoch) => self.propose(now, ballot, epoch),
             None => {
                 self.held = None;
                 let (votes, newest) = (Votes::default(), Epoch::default());
-                self.stage = Stage::Preparing { ballot, votes, newest, since: now };
+                self.phase = Phase::Preparing { ballot, votes, newest, since: now };
                 Ask::Prepare(ballot)
             }
         }
     }
 
     fn propose(&mut self, now: Micros, ballot: Ballot, epoch: Epoch) -> Ask {
-        self.stage = Stage::Proposing { ballot, votes: Votes::default(), epoch, sent: now };
+        self.phase = Phase::Proposing { ballot, votes: Votes::default(), epoch, sent: now };
         Ask::Propose(ballot, epoch, self.terms.voter)
     }
 
@@ -116,8 +116,8 @@
             return Step::Wait;
         }
         let majority = self.voters / 2 + 1;
-        match (answer, &mut self.stage) {
-            (Answer::Promised(of, epoch), Stage::Preparing { ballot, votes, newest, .. })
+        match (answer, &mut self.phase) {
+            (Answer::Promised(of, epoch), Phase::Preparing { ballot, votes, newest, .. })
                 if of == *ballot =>
             {
                 votes.add(voter);
@@ -128,14 +128,14 @@
                 let (ballot, next) = (*ballot, Epoch(newest.0.saturating_add(1)));
                 Step::Ask(self.propose(now, ballot, next))
             }
-            (Answer::Accepted(of), Stage::Proposing { ballot, votes, epoch, sent }) if of == *ballot => {
+            (Answer::Accepted(of), Phase::Proposing { ballot, votes, epoch, sent }) if of == *ballot => {
                 votes.add(voter);
                 if votes.count() < majority {
                     return Step::Wait;
                 }
                 // Danger: counted from the answer, the term would outlast the voters'.
                 let (epoch, until) = (*epoch, *sent + self.terms.holder);
-                self.stage = Stage::Idle;
+                self.phase = Phase::Idle;
                 self.held = Some((epoch, until));
                 match now < until {
                     true => Step::Held(epoch),
@@ -144,17 +144,18 @@
             }
             (
                 Answer::Held(of, holder, left),
-                Stage::Preparing { ballot, .. } | Stage::Proposing { ballot, .. },
+                Phase::Preparing { ballot, .. } | Phase::Proposing { ballot, .. },
             ) if of == *ballot => {
                 // One voter's word is enough to stand back: a lease that is held is not to be disturbed.
-                self.stage = Stage::Idle;
-                Step::Taken(holder, left)
+                self.phase = Phase::Idle;
+                Step::HeldByOther(holder, left)
             }
-            (Answer::Older(of, round), Stage::Preparing { ballot, .. } | Stage::Proposing { ballot, .. })
-                if of == *ballot =>
-            {
+            (
+                Answer::Superseded(of, round),
+                Phase::Preparing { ballot, .. } | Phase::Proposing { ballot, .. },
+            ) if of == *ballot => {
                 self.round = self.round.max(round);
-                self.stage = Stage::Idle;
+                self.phase = Phase::Idle;
                 Step::Contended
             }
             _ => Step::Wait,
@@ -164,7 +165,7 @@
     /// Gives it up, at once for this process; what the voters are to be told.
     pub fn release(&mut self, now: Micros) -> Option<Ask> {
         let epoch = self.held(now);
-        (self.held, self.stage) = (None, Stage::Idle);
+        (self.held, self.phase) = (None, Phase::Idle);
         epoch.map(|epoch| Ask::Release(self.own, epoch))
     }
 }
--- a/src/fleet/lease/mod.rs
+++ b/src/fleet/lease/mod.rs
@@ -5,15 +5,15 @@
 //!
 //! Safety rests on the list of voters and on clock *rates* alone, never on the view, nor on what time it is.
 
+pub mod assignment;
 pub mod claim;
-pub mod spread;
 pub mod voter;
 
 use crate::interface::Micros;
 use std::net::SocketAddr;
 
 /// No term is longer: a voter that starts is silent for this long.
-pub const TERM_MOST: Micros = Micros(30_000_000);
+pub const MAX_TERM: Micros = Micros(30_000_000);
 
 /// What a lease is for. Each kind says in its type what holds when a holder is stopped between check and act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -40,7 +40,7 @@
 
 impl BoundedTask {
     /// How long the act takes at most.
-    pub fn takes(&self) -> Micros {
+    pub fn max_duration(&self) -> Micros {
         match self {
             BoundedTask::Probe(_) => Micros(500_000),
         }
@@ -53,7 +53,7 @@
     /// Its address in the fleet.
     pub address: SocketAddr,
     /// Drawn anew at each start. Danger: a process that starts again has forgotten what it holds.
-    pub life: u64,
+    pub instance_id: u64,
 }
 
 /// The number of an attempt to get or keep a lease; never used twice, as the life is part of it.
@@ -62,7 +62,7 @@
     /// Counted up by whoever asks.
     pub round: u64,
     /// Who asks.
-    pub by: Holder,
+    pub proposer: Holder,
 }
 
 /// A grant's number: it only grows, from one holder of a task to the next.
@@ -90,7 +90,7 @@
     /// Somebody else holds it, for so long still.
     Held(Ballot, Holder, Micros),
     /// A later ballot was promised, of this round.
-    Older(Ballot, u64),
+    Superseded(Ballot, u64),
 }
 
 /// How long holders and voters count a term.
@@ -106,7 +106,7 @@
     /// For clocks that run too fast or too slow by up to so many parts in a thousand. The slowest holder's term is
     /// over when the fastest voter's is: `holder / (1 - e) <= voter / (1 + e)`.
     pub fn new(voter: Micros, rate_permille: u64) -> Terms {
-        let voter = Micros(voter.0.min(TERM_MOST.0));
+        let voter = Micros(voter.0.min(MAX_TERM.0));
         let holder = voter.0 * 1000u64.saturating_sub(rate_permille) / (1000 + rate_permille);
         Terms { voter, holder: Micros(holder) }
     }
@@ -114,30 +114,30 @@
 
 /// What whoever receives fenced effects keeps: the newest epoch seen of each task, of a bounded number.
 #[derive(Clone, Debug, Default)]
-pub struct Fences {
-    newest: std::collections::BTreeMap<FencedTask, Epoch>,
+pub struct FenceTable {
+    newest_epochs: std::collections::BTreeMap<FencedTask, Epoch>,
     /// Of tasks that were forgotten; what is not listed is at least this new.
-    floor: Epoch,
+    forgotten_epoch: Epoch,
 }
 
-/// Fences kept at most.
-const FENCES_MOST: usize = 4_096;
+/// FenceTable kept at most.
+const MAX_FENCES: usize = 4_096;
 
-impl Fences {
+impl FenceTable {
     /// Whether an effect under this epoch may be taken; one that may makes all older ones unfit.
     pub fn admit(&mut self, task: FencedTask, epoch: Epoch) -> bool {
-        let newest = self.newest.get(&task).copied().unwrap_or(self.floor);
+        let newest = self.newest_epochs.get(&task).copied().unwrap_or(self.forgotten_epoch);
         if epoch < newest {
             return false;
         }
-        if self.newest.len() >= FENCES_MOST && !self.newest.contains_key(&task) {
+        if self.newest_epochs.len() >= MAX_FENCES && !self.newest_epochs.contains_key(&task) {
             // Danger: a fence that is forgotten must not let an older effect in; the floor rises to it. Epochs
             // grow with the clock, so that living tasks are above it.
-            if let Some((_, gone)) = self.newest.pop_first() {
-                self.floor = self.floor.max(gone);
+            if let Some((_, gone)) = self.newest_epochs.pop_first() {
+                self.forgotten_epoch = self.forgotten_epoch.max(gone);
             }
         }
-        self.newest.insert(task, epoch);
+        self.newest_epochs.insert(task, epoch);
         true
     }
 }
--- a/src/fleet/lease/tests.rs
+++ b/src/fleet/lease/tests.rs
@@ -12,16 +12,16 @@
         assert!(holder <= voter, "{permille}: {holder} after {voter}");
         assert!(holder > voter * 0.999, "{permille}: a term is not given away");
     }
-    assert_eq!(Terms::new(Micros(u64::MAX), 10).voter, TERM_MOST);
+    assert_eq!(Terms::new(Micros(u64::MAX), 10).voter, MAX_TERM);
 }
 
 #[test]
 fn an_older_effect_is_refused_also_once_its_fence_is_forgotten() {
-    let mut fences = Fences::default();
+    let mut fences = FenceTable::default();
     let task = FencedTask::Plan(0);
     assert!(fences.admit(task, Epoch(7)));
     assert!(fences.admit(task, Epoch(7)) && !fences.admit(task, Epoch(6)));
-    (1..=FENCES_MOST as u64).for_each(|n| assert!(fences.admit(FencedTask::Plan(n), Epoch(9))));
+    (1..=MAX_FENCES as u64).for_each(|n| assert!(fences.admit(FencedTask::Plan(n), Epoch(9))));
     assert!(!fences.admit(task, Epoch(6)), "forgotten, and refused all the same");
-    assert!(fences.newest.len() <= FENCES_MOST);
+    assert!(fences.newest_epochs.len() <= MAX_FENCES);
 }
--- a/src/fleet/show.rs
+++ b/src/fleet/show.rs
@@ -7,11 +7,11 @@
 use std::fmt::Write;
 
 /// Pages that an answer has at most: a view of the largest table fits.
-pub const PAGES_MOST: u64 = 2_048;
+pub const MAX_PAGES: u64 = 2_048;
 
 /// A view, as an operator sees it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Shown {
+pub struct FleetStatus {
     /// The fleet's name.
     pub fleet: String,
     /// Whose view it is.
@@ -21,7 +21,7 @@
     /// Members that count as there.
     pub live: usize,
     /// Everyone known.
-    pub members: Vec<ShownMember>,
+    pub members: Vec<MemberStatus>,
     /// Datagrams sent, and their bytes.
     pub sent: u64,
     /// Bytes sent.
@@ -29,7 +29,7 @@
     /// Datagrams heard.
     pub heard: u64,
     /// Dropped, by why.
-    pub dropped: Vec<ShownCount>,
+    pub dropped: Vec<DropCount>,
     /// Suspicions raised here.
     pub suspected: u64,
     /// Times that this process woke up too late.
@@ -38,7 +38,7 @@
 
 /// A count under a name.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ShownCount {
+pub struct DropCount {
     /// What is counted.
     pub why: String,
     /// How many.
@@ -47,7 +47,7 @@
 
 /// A member.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ShownMember {
+pub struct MemberStatus {
     /// Its name.
     pub name: String,
     /// Where it is reached.
@@ -66,7 +66,7 @@
     pub offered: Option<u64>,
     /// Set-ups out and calls standing.
     pub out: Option<u64>,
-    /// The newest change-log event it has seen.
+    /// The newest change-log event it has member.
     pub seq: Option<u64>,
     /// Its program's version.
     pub program: Option<String>,
@@ -75,57 +75,57 @@
 }
 
 /// A view as JSON text.
-pub fn render(view: &View, now: Micros) -> String {
-    let member = |seen: super::view::Seen| {
-        let age = seen.facts.as_ref().map(|f| f.1 .0 / 1000);
-        let facts = seen.facts.map(|f| f.0);
-        ShownMember {
-            name: seen.identity.name.to_string(),
-            address: seen.identity.address.to_string(),
-            zone: seen.identity.zone.to_string(),
-            generation: seen.identity.generation,
-            phase: phase(seen.phase).into(),
-            displaced: seen.displaced,
-            since_ms: (now - seen.since).0 / 1000,
+pub fn render_json(view: &View, now: Micros) -> String {
+    let member_status = |member: super::view::MemberInfo| {
+        let age = member.facts.as_ref().map(|f| f.1 .0 / 1000);
+        let facts = member.facts.map(|f| f.0);
+        MemberStatus {
+            name: member.identity.name.to_string(),
+            address: member.identity.address.to_string(),
+            zone: member.identity.zone.to_string(),
+            generation: member.identity.generation,
+            phase: phase_name(member.phase).into(),
+            displaced: member.displaced,
+            since_ms: (now - member.since).0 / 1000,
             offered: facts.as_ref().map(|f| f.offered.into()),
-            out: facts.as_ref().map(|f| f.out.into()),
-            seq: facts.as_ref().map(|f| f.seq),
+            out: facts.as_ref().map(|f| f.outstanding.into()),
+            seq: facts.as_ref().map(|f| f.change_log_seq),
             program: facts.map(|f| f.program),
             facts_age_ms: age,
         }
     };
-    let Counters { sent, sent_bytes, heard, suspected, late, .. } = view.counters();
-    json::to_string(&Shown {
+    let Counters { sent, sent_bytes, received, suspected, late_wakes, .. } = view.counters();
+    json::to_string(&FleetStatus {
         fleet: view.fleet().into(),
         by: view.own().to_string(),
         hash: format!("{:016x}", view.hash()),
         live: view.live().count(),
-        members: view.members(now).into_iter().map(member).collect(),
+        members: view.members(now).into_iter().map(member_status).collect(),
         sent,
         sent_bytes,
-        heard,
-        dropped: dropped(&view.counters()),
+        heard: received,
+        dropped: drop_counts(&view.counters()),
         suspected,
-        late,
+        late: late_wakes,
     })
 }
 
 /// What was dropped, by why.
-pub fn dropped(counters: &Counters) -> Vec<ShownCount> {
+pub fn drop_counts(counters: &Counters) -> Vec<DropCount> {
     let counts = [
         ("too long", counters.too_long),
         ("foreign", counters.foreign),
-        ("torn", counters.torn),
-        ("newer", counters.newer),
-        ("stranger", counters.strangers),
-        ("full", counters.full),
-        ("own address", counters.own),
+        ("torn", counters.corrupt),
+        ("newer", counters.unsupported_version),
+        ("stranger", counters.outside_prefixes),
+        ("full", counters.table_full),
+        ("own address", counters.own_address),
     ];
     let some = counts.into_iter().filter(|(_, count)| *count > 0);
-    some.map(|(why, count)| ShownCount { why: why.into(), count }).collect()
+    some.map(|(why, count)| DropCount { why: why.into(), count }).collect()
 }
 
-fn phase(phase: Phase) -> &'static str {
+fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Joining => "joining",
         Phase::Alive => "alive",
@@ -136,7 +136,7 @@
 }
 
 /// One page of a text: the asker's number, which page, of how many, and its bytes.
-pub fn page(nonce: u64, page: u64, text: &[u8], room: usize) -> Vec<u8> {
+pub fn encode_page(nonce: u64, page: u64, text: &[u8], room: usize) -> Vec<u8> {
     let each = room.saturating_sub(24).max(1);
     let pages = text.len().div_ceil(each).max(1) as u64;
     let mut body: Vec<u8> = [nonce, page, pages].iter().flat_map(|n| n.to_be_bytes()).collect();
@@ -146,29 +146,29 @@
 }
 
 /// Reads a page: the number asked under, which page, of how many, and its bytes.
-pub fn read_page(body: &[u8]) -> Option<([u64; 3], &[u8])> {
+pub fn decode_page(body: &[u8]) -> Option<([u64; 3], &[u8])> {
     let (numbers, rest) = body.split_at_checked(24)?;
     Some((wire::read_numbers(numbers).ok()?, rest))
 }
 
 /// The table that an operator sees.
-pub fn table(shown: &Shown) -> String {
+pub fn format_table(status: &FleetStatus) -> String {
     let mut text = String::new();
     let _ = writeln!(
         text,
         "fleet {}, seen by {}: {} live, hash {}\n\
          datagrams sent {} ({} bytes), heard {}; suspicions raised {}; woken late {}",
-        shown.fleet,
-        shown.by,
-        shown.live,
-        shown.hash,
-        shown.sent,
-        shown.sent_bytes,
-        shown.heard,
-        shown.suspected,
-        shown.late
+        status.fleet,
+        status.by,
+        status.live,
+        status.hash,
+        status.sent,
+        status.sent_bytes,
+        status.heard,
+        status.suspected,
+        status.late
     );
-    for ShownCount { why, count } in &shown.dropped {
+    for DropCount { why, count } in &status.dropped {
         let _ = writeln!(text, "dropped, {why}: {count}");
     }
     let _ = writeln!(
@@ -177,7 +177,7 @@
         "name", "address", "zone", "phase", "since s", "calls/s", "out", "event", "age ms"
     );
     let or = |n: Option<u64>| n.map_or("-".into(), |n| n.to_string());
-    for m in &shown.members {
+    for m in &status.members {
         let phase = if m.displaced { format!("{}*", m.phase) } else { m.phase.clone() };
         let _ = writeln!(
             text,
@@ -194,7 +194,7 @@
             m.program.as_deref().unwrap_or("-")
         );
     }
-    if shown.members.iter().any(|m| m.displaced) {
+    if status.members.iter().any(|m| m.displaced) {
         let _ = writeln!(text, "* another process has this name and started later");
     }
     text
--- a/src/fleet/task.rs
+++ b/src/fleet/task.rs
@@ -2,8 +2,8 @@
 
 use super::show;
 use super::view::facts::Facts;
-use super::view::{Event, News, Out, Seen, Setup, View};
-use super::wire::{Identity, DATAGRAM_MOST};
+use super::view::{Event, MemberInfo, Notification, Output, View, ViewConfig};
+use super::wire::{Identity, MAX_DATAGRAM_BYTES};
 use crate::config::Fleet;
 use crate::core::{Clock, LoadSummary};
 use crate::interface::Micros;
@@ -15,11 +15,11 @@
 
 /// Datagrams that are read before anything else is done. Danger: after a pause all that came meanwhile waits in
 /// the socket, acknowledgements too, and no deadline may be looked at before; but a flood must not hold time up.
-const DRAINED: usize = 1_024;
+const MAX_DATAGRAMS_PER_WAKE: usize = 1_024;
 /// How often the own facts are stated and the view is handed on.
-const STATED: Micros = Micros(500_000);
+const FACTS_INTERVAL: Micros = Micros(500_000);
 /// What was dropped is said no more often.
-const SAID: Micros = Micros(10_000_000);
+const DROP_LOG_INTERVAL: Micros = Micros(10_000_000);
 
 /// The fleet, as the rest of the program sees it.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -29,7 +29,7 @@
     /// The same where views are equal.
     pub hash: u64,
     /// Everyone known, by name.
-    pub members: Vec<Seen>,
+    pub members: Vec<MemberInfo>,
 }
 
 /// Where the latest snapshot is found.
@@ -44,7 +44,7 @@
     name: &str,
     seed: u64,
     clock: Clock,
-    figures: watch::Receiver<LoadSummary>,
+    load: watch::Receiver<LoadSummary>,
 ) -> io::Result<(Leave, Snapshots)> {
     let socket = UdpSocket::bind(fleet.listen)
         .await
@@ -58,7 +58,7 @@
         address: advertise,
         generation: clock.now().0 / 1000,
     };
-    let setup = Setup {
+    let setup = ViewConfig {
         fleet: fleet.name.clone(),
         own,
         seeds: fleet.seeds.clone(),
@@ -67,83 +67,83 @@
         seed,
     };
     tracing::info!(fleet = fleet.name, "in the fleet at {bound}, reached at {advertise}");
-    let (leave, left) = mpsc::channel(1);
+    let (leave, leave_requests) = mpsc::channel(1);
     let (snapshots, latest) = watch::channel(Arc::default());
-    let talk = Talk {
+    let task = FleetTask {
         socket,
         view: View::new(setup, clock.now()),
         clock,
-        figures,
-        last: (clock.now(), LoadSummary::default()),
+        load,
+        last_load: (clock.now(), LoadSummary::default()),
         snapshots,
-        next: clock.now(),
-        said: (clock.now(), 0),
-        out: Vec::new(),
+        next_publish: clock.now(),
+        last_drop_log: (clock.now(), 0),
+        outputs: Vec::new(),
     };
-    tokio::spawn(talk.run(left));
+    tokio::spawn(task.run(leave_requests));
     Ok((leave, latest))
 }
 
-struct Talk {
+struct FleetTask {
     socket: UdpSocket,
     view: View,
     clock: Clock,
-    figures: watch::Receiver<LoadSummary>,
-    /// The figures stated last, and when.
-    last: (Micros, LoadSummary),
+    load: watch::Receiver<LoadSummary>,
+    /// The load stated last, and when.
+    last_load: (Micros, LoadSummary),
     snapshots: watch::Sender<Arc<Snapshot>>,
     /// When facts are stated and the view is handed on next.
-    next: Micros,
+    next_publish: Micros,
     /// When it was last said what was dropped, and how much that was.
-    said: (Micros, u64),
-    out: Vec<Out>,
+    last_drop_log: (Micros, u64),
+    outputs: Vec<Output>,
 }
 
-impl Talk {
-    async fn run(mut self, mut left: mpsc::Receiver<()>) {
+impl FleetTask {
+    async fn run(mut self, mut leave_requests: mpsc::Receiver<()>) {
         // One more than is allowed, so that a datagram that is too long is seen to be.
-        let mut buffer = [0; DATAGRAM_MOST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let wake = self.clock.instant(self.view.next().min(self.next));
+            let wake = self.clock.instant(self.view.next_wake().min(self.next_publish));
             tokio::select! {
                 biased;
-                asked = left.recv() => {
-                    if asked.is_some() {
-                        self.state(true);
-                        self.view.handle(self.clock.now(), Event::Leave, &mut self.out);
+                request = leave_requests.recv() => {
+                    if request.is_some() {
+                        self.publish_facts(true);
+                        self.view.handle(self.clock.now(), Event::Leave, &mut self.outputs);
                         self.send();
                     }
                     return;
                 }
                 readable = self.socket.readable() => {
-                    self.drain(&mut buffer);
+                    self.receive(&mut buffer);
                     // Danger: a socket that fails for ever must not take the whole processor.
                     if readable.is_err() {
                         tokio::time::sleep(Duration::from_millis(50)).await;
                     }
                 }
-                _ = sleep_until(wake) => self.drain(&mut buffer),
+                _ = sleep_until(wake) => self.receive(&mut buffer),
             }
             let now = self.clock.now();
-            if self.view.next() <= now {
-                self.view.handle(now, Event::Wake, &mut self.out);
+            if self.view.next_wake() <= now {
+                self.view.handle(now, Event::Wake, &mut self.outputs);
             }
-            if self.next <= now {
-                self.next = now + STATED;
-                self.state(false);
-                self.hand_on(now);
+            if self.next_publish <= now {
+                self.next_publish = now + FACTS_INTERVAL;
+                self.publish_facts(false);
+                self.publish_snapshot(now);
             }
             self.send();
         }
     }
 
     /// Hands in what waits in the socket.
-    fn drain(&mut self, buffer: &mut [u8]) {
-        for _ in 0..DRAINED {
+    fn receive(&mut self, buffer: &mut [u8]) {
+        for _ in 0..MAX_DATAGRAMS_PER_WAKE {
             match self.socket.try_recv_from(buffer) {
                 Ok((length, from)) => {
                     let event = Event::Datagram(from, &buffer[..length]);
-                    self.view.handle(self.clock.now(), event, &mut self.out);
+                    self.view.handle(self.clock.now(), event, &mut self.outputs);
                 }
                 Err(_) => return,
             }
@@ -152,63 +152,65 @@
 
     /// Sends what is to be sent. A datagram that the socket does not take is lost, as any may be.
     fn send(&mut self) {
-        for out in self.out.drain(..) {
-            match out {
-                Out::Send(to, bytes) => {
+        for output in self.outputs.drain(..) {
+            match output {
+                Output::Send(to, bytes) => {
                     let _ = self.socket.try_send_to(&bytes, to);
                 }
-                Out::News(news) => say(&news),
+                Output::Notify(notification) => log_notification(&notification),
             }
         }
     }
 
     /// States the own facts.
-    fn state(&mut self, leaving: bool) {
-        let (now, figures) = (self.clock.now(), *self.figures.borrow());
-        let span = (now - self.last.0).secs().max(1e-3);
-        let offered = ((figures.offered - self.last.1.offered) as f64 / span).round() as u32;
-        self.last = (now, figures);
+    fn publish_facts(&mut self, leaving: bool) {
+        let (now, load) = (self.clock.now(), *self.load.borrow());
+        let span = (now - self.last_load.0).secs().max(1e-3);
+        let offered = ((load.offered - self.last_load.1.offered) as f64 / span).round() as u32;
+        self.last_load = (now, load);
         let facts = Facts {
             offered,
-            out: figures.open,
-            seq: figures.seq,
+            outstanding: load.open,
+            change_log_seq: load.seq,
             program: env!("CARGO_PKG_VERSION").into(),
-            leaving: leaving || figures.stopping,
+            leaving: leaving || load.stopping,
             ..Facts::default()
         };
-        self.view.handle(now, Event::Own(facts), &mut self.out);
+        self.view.handle(now, Event::OwnFacts(facts), &mut self.outputs);
     }
 
-    fn hand_on(&mut self, now: Micros) {
+    fn publish_snapshot(&mut self, now: Micros) {
         let snapshot = Snapshot { at: now, hash: self.view.hash(), members: self.view.members(now) };
         self.snapshots.send_replace(Arc::new(snapshot));
         let counters = self.view.counters();
-        if counters.dropped() > self.said.1 && now - self.said.0 >= SAID {
-            self.said = (now, counters.dropped());
+        if counters.dropped() > self.last_drop_log.1 && now - self.last_drop_log.0 >= DROP_LOG_INTERVAL {
+            self.last_drop_log = (now, counters.dropped());
             let why: Vec<String> =
-                show::dropped(&counters).iter().map(|c| format!("{} {}", c.why, c.count)).collect();
+                show::drop_counts(&counters).iter().map(|c| format!("{} {}", c.why, c.count)).collect();
             tracing::warn!("fleet: datagrams dropped so far: {}", why.join(", "));
         }
     }
 }
 
-fn say(news: &News) {
-    match news {
-        News::Up(identity) => tracing::info!(member = %identity, zone = %identity.zone, "fleet: there"),
-        News::Gone(identity) => tracing::info!(member = %identity, "fleet: gone"),
-        News::Back(generation) => {
+fn log_notification(notification: &Notification) {
+    match notification {
+        Notification::MemberUp(identity) => {
+            tracing::info!(member = %identity, zone = %identity.zone, "fleet: there")
+        }
+        Notification::MemberDown(identity) => tracing::info!(member = %identity, "fleet: gone"),
+        Notification::Rejoined(generation) => {
             tracing::warn!(generation, "fleet: this process was held to be gone, and is back");
         }
-        News::Recanted(members) => {
+        Notification::VerdictsRetracted(members) => {
             tracing::warn!(
                 members,
                 "fleet: nobody answered for a while; who seemed gone counts as there again"
             );
         }
-        News::SameName(other, true) => {
+        Notification::DuplicateName(other, true) => {
             tracing::warn!(%other, "fleet: another process has this one's name; this one started later and holds it");
         }
-        News::SameName(other, false) => {
+        Notification::DuplicateName(other, false) => {
             tracing::error!(%other, "fleet: another process has this one's name and started later: it is not counted on");
         }
     }
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -13,23 +13,23 @@
 use winnow::{ModalResult, Parser};
 
 /// No datagram is longer.
-pub const DATAGRAM_MOST: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// The form spoken.
 pub const VERSION: u8 = 1;
 /// The oldest reader that understands what is written; what comes after the body it skips.
-pub const LEAST: u8 = 1;
+pub const MIN_READER_VERSION: u8 = 1;
 /// A member's name has at most so many bytes.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// A fleet's or a zone's name has at most so many bytes.
-pub const LABEL_MOST: usize = 32;
+pub const MAX_LABEL_BYTES: usize = 32;
 /// One member's facts have at most so many bytes.
-pub const FACTS_MOST: usize = 200;
+pub const MAX_FACTS_BYTES: usize = 200;
 
 const MAGIC: [u8; 2] = *b"PF";
 /// Magic, version, least reader, kind, flags, checksum.
-const HEAD: usize = 10;
+const HEADER_BYTES: usize = 10;
 /// Who sends it has heard nothing for a while: its suspicions may be its own fault.
-const UNSURE: u8 = 1;
+const FLAG_ISOLATED: u8 = 1;
 
 /// What a datagram is for. Other values are left to later versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,23 +41,23 @@
     /// Sums over the sender's view; what differs is answered with [`Kind::Entries`] and sums in return.
     Sync = 3,
     /// The sums in return: answered with entries alone.
-    Synced = 4,
+    SyncReply = 4,
     /// Entries of a view.
     Entries = 5,
     /// The receiver is suspected: it is to refute.
-    Doubt = 6,
+    SuspectQuery = 6,
     /// The receiver's identity is older than one that is known at its address.
     Outdated = 7,
     /// An operator asks for the view.
-    Ask = 8,
+    StatusRequest = 8,
     /// A page of it.
-    Told = 9,
+    StatusPage = 9,
 }
 
 impl Kind {
-    fn of(code: u8) -> Option<Kind> {
+    fn from_code(code: u8) -> Option<Kind> {
         use Kind::*;
-        [Swim, Facts, Sync, Synced, Entries, Doubt, Outdated, Ask, Told]
+        [Swim, Facts, Sync, SyncReply, Entries, SuspectQuery, Outdated, StatusRequest, StatusPage]
             .into_iter()
             .find(|k| *k as u8 == code)
     }
@@ -78,12 +78,12 @@
 
 impl Identity {
     /// Whoever is reached at an address, before more is known of it.
-    pub fn at(address: SocketAddr) -> Identity {
+    pub fn from_address(address: SocketAddr) -> Identity {
         Identity { name: "".into(), zone: "".into(), address, generation: 0 }
     }
 
     /// The same member's next life.
-    pub fn after(&self, generation: u64) -> Identity {
+    pub fn with_generation_after(&self, generation: u64) -> Identity {
         Identity { generation: generation.saturating_add(1), ..self.clone() }
     }
 }
@@ -98,7 +98,7 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Identity> {
-        Some(self.after(self.generation))
+        Some(self.with_generation_after(self.generation))
     }
 
     fn addr(&self) -> SocketAddr {
@@ -112,21 +112,21 @@
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// Over [`DATAGRAM_MOST`].
+pub enum DropReason {
+    /// Over [`MAX_DATAGRAM_BYTES`].
     TooLong,
     /// Not of this protocol, or of another fleet.
     Foreign,
     /// Its checksum or one of its lengths is wrong.
-    Torn,
+    Corrupt,
     /// Only a later version can read it.
-    Newer,
+    UnsupportedVersion,
     /// Its sender, or an address that it names, is not under the operator's prefixes.
-    Stranger,
+    OutsidePrefixes,
     /// The tables are full.
-    Full,
+    TableFull,
     /// It claims to come from this process.
-    Own,
+    OwnAddress,
 }
 
 /// A datagram, as far as its envelope goes.
@@ -135,7 +135,7 @@
     /// What it is for.
     pub kind: Kind,
     /// The sender may be the one that is cut off.
-    pub unsure: bool,
+    pub isolated: bool,
     /// Who sent it; answers go to the address that it states. An operator who asks has no name.
     pub sender: Identity,
     /// What it says.
@@ -143,59 +143,68 @@
 }
 
 /// Writes a datagram. A body that does not fit gives one that is too long, which nobody sends.
-pub fn seal(fleet: &str, sender: &Identity, kind: Kind, unsure: bool, body: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(DATAGRAM_MOST);
+pub fn encode_datagram(fleet: &str, sender: &Identity, kind: Kind, isolated: bool, body: &[u8]) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     bytes.extend_from_slice(&MAGIC);
-    bytes.extend_from_slice(&[VERSION, LEAST, kind as u8, if unsure { UNSURE } else { 0 }, 0, 0, 0, 0]);
-    label(&mut bytes, fleet);
-    identity(&mut bytes, sender);
+    bytes.extend_from_slice(&[
+        VERSION,
+        MIN_READER_VERSION,
+        kind as u8,
+        if isolated { FLAG_ISOLATED } else { 0 },
+        0,
+        0,
+        0,
+        0,
+    ]);
+    put_label(&mut bytes, fleet);
+    put_identity(&mut bytes, sender);
     bytes.put_u16(body.len() as u16);
     bytes.extend_from_slice(body);
     let sum = checksum(&bytes);
-    bytes[6..HEAD].copy_from_slice(&sum.to_be_bytes());
+    bytes[6..HEADER_BYTES].copy_from_slice(&sum.to_be_bytes());
     bytes
 }
 
 /// Bytes of an envelope around a body.
 pub fn overhead(fleet: &str, sender: &Identity) -> usize {
-    seal(fleet, sender, Kind::Swim, false, &[]).len()
+    encode_datagram(fleet, sender, Kind::Swim, false, &[]).len()
 }
 
 /// Reads a datagram of this fleet.
-pub fn open<'a>(fleet: &str, bytes: &'a [u8]) -> Result<Envelope<'a>, Refused> {
-    if bytes.len() > DATAGRAM_MOST {
-        return Err(Refused::TooLong);
+pub fn decode_datagram<'a>(fleet: &str, bytes: &'a [u8]) -> Result<Envelope<'a>, DropReason> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(DropReason::TooLong);
     }
-    if bytes.len() < HEAD || bytes[..2] != MAGIC {
-        return Err(Refused::Foreign);
+    if bytes.len() < HEADER_BYTES || bytes[..2] != MAGIC {
+        return Err(DropReason::Foreign);
     }
     if checksum(bytes) != u32::from_be_bytes([bytes[6], bytes[7], bytes[8], bytes[9]]) {
-        return Err(Refused::Torn);
+        return Err(DropReason::Corrupt);
     }
     // After the sum: what is torn must not be taken for a later version.
     if bytes[3] > VERSION {
-        return Err(Refused::Newer);
+        return Err(DropReason::UnsupportedVersion);
     }
-    let mut rest = &bytes[HEAD..];
-    let of = read_label.parse_next(&mut rest).map_err(|_| Refused::Torn)?;
-    let kind = Kind::of(bytes[4]).ok_or(Refused::Newer)?;
+    let mut rest = &bytes[HEADER_BYTES..];
+    let of = read_label.parse_next(&mut rest).map_err(|_| DropReason::Corrupt)?;
+    let kind = Kind::from_code(bytes[4]).ok_or(DropReason::UnsupportedVersion)?;
     // An operator who asks need not know the fleet's name.
-    if &*of != fleet && !matches!(kind, Kind::Ask | Kind::Told) {
-        return Err(Refused::Foreign);
+    if &*of != fleet && !matches!(kind, Kind::StatusRequest | Kind::StatusPage) {
+        return Err(DropReason::Foreign);
     }
-    let sender = read_identity.parse_next(&mut rest).map_err(|_| Refused::Torn)?;
-    let body = length_take(be_u16).parse_next(&mut rest).map_err(|_: Fault| Refused::Torn)?;
-    Ok(Envelope { kind, unsure: bytes[5] & UNSURE != 0, sender, body })
+    let sender = read_identity.parse_next(&mut rest).map_err(|_| DropReason::Corrupt)?;
+    let body = length_take(be_u16).parse_next(&mut rest).map_err(|_: ParseError| DropReason::Corrupt)?;
+    Ok(Envelope { kind, isolated: bytes[5] & FLAG_ISOLATED != 0, sender, body })
 }
 
 /// The form's checksum, over all but itself.
 pub fn checksum(bytes: &[u8]) -> u32 {
-    crc32c::crc32c_append(crc32c::crc32c(&bytes[..6]), &bytes[HEAD..])
+    crc32c::crc32c_append(crc32c::crc32c(&bytes[..6]), &bytes[HEADER_BYTES..])
 }
 
-type Fault = ErrMode<ContextError>;
+type ParseError = ErrMode<ContextError>;
 
-fn label(bytes: &mut impl BufMut, text: &str) {
+fn put_label(bytes: &mut impl BufMut, text: &str) {
     bytes.put_u8(text.len() as u8);
     bytes.put_slice(text.as_bytes());
 }
@@ -206,7 +215,7 @@
 }
 
 /// Writes an address: the family, the address, the port.
-pub fn address(bytes: &mut impl BufMut, address: SocketAddr) {
+pub fn put_address(bytes: &mut impl BufMut, address: SocketAddr) {
     match address.ip() {
         IpAddr::V4(ip) => {
             bytes.put_u8(4);
@@ -233,23 +242,23 @@
     Ok(SocketAddr::new(ip, be_u16.parse_next(input)?))
 }
 
-fn identity(bytes: &mut impl BufMut, of: &Identity) {
-    label(bytes, &of.name);
-    label(bytes, &of.zone);
-    address(bytes, of.address);
+fn put_identity(bytes: &mut impl BufMut, of: &Identity) {
+    put_label(bytes, &of.name);
+    put_label(bytes, &of.zone);
+    put_address(bytes, of.address);
     bytes.put_u64(of.generation);
 }
 
 fn read_identity(input: &mut &[u8]) -> ModalResult<Identity> {
-    let name = read_label.verify(|n: &Arc<str>| n.len() <= NAME_MOST).parse_next(input)?;
-    let zone = read_label.verify(|z: &Arc<str>| z.len() <= LABEL_MOST).parse_next(input)?;
+    let name = read_label.verify(|n: &Arc<str>| n.len() <= MAX_NAME_BYTES).parse_next(input)?;
+    let zone = read_label.verify(|z: &Arc<str>| z.len() <= MAX_LABEL_BYTES).parse_next(input)?;
     let (address, generation) = (read_address, be_u64).parse_next(input)?;
     Ok(Identity { name, zone, address, generation })
 }
 
 /// Writes an entry of a view: who, the refutations, the state.
-pub fn member(bytes: &mut impl BufMut, of: &Member<Identity>) {
-    identity(bytes, of.id());
+pub fn put_member(bytes: &mut impl BufMut, of: &Member<Identity>) {
+    put_identity(bytes, of.id());
     bytes.put_u16(of.incarnation());
     bytes.put_u8(match of.state() {
         State::Alive => 1,
@@ -271,20 +280,20 @@
 }
 
 /// Bytes that an entry takes.
-pub fn member_bytes(of: &Member<Identity>) -> usize {
+pub fn member_len(of: &Member<Identity>) -> usize {
     let mut bytes = Vec::with_capacity(64);
-    member(&mut bytes, of);
+    put_member(&mut bytes, of);
     bytes.len()
 }
 
 /// Writes the head of a SWIM message. Who sent it stands in the envelope too, so that a body can be read alone.
-fn header(bytes: &mut impl BufMut, of: &Header<Identity>) {
-    identity(bytes, &of.src);
+fn put_header(bytes: &mut impl BufMut, of: &Header<Identity>) {
+    put_identity(bytes, &of.src);
     bytes.put_u16(of.src_incarnation);
-    identity(bytes, &of.dst);
+    put_identity(bytes, &of.dst);
     let mut indirect = |code: u8, who: &Identity, number: u8| {
         bytes.put_u8(code);
-        identity(bytes, who);
+        put_identity(bytes, who);
         bytes.put_u8(number);
     };
     match &of.message {
@@ -328,31 +337,31 @@
 }
 
 /// Writes a SWIM message with the entries that it carries.
-pub fn swim(head: &Header<Identity>, entries: &[Member<Identity>]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(DATAGRAM_MOST);
-    header(&mut bytes, head);
+pub fn encode_swim(head: &Header<Identity>, entries: &[Member<Identity>]) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
+    put_header(&mut bytes, head);
     if !entries.is_empty() {
         bytes.put_u16(entries.len() as u16);
-        entries.iter().for_each(|e| member(&mut bytes, e));
+        entries.iter().for_each(|e| put_member(&mut bytes, e));
     }
     bytes
 }
 
 /// Reads a whole SWIM message. No other data is carried along.
-pub fn read_swim(mut input: &[u8]) -> Result<(Header<Identity>, Vec<Member<Identity>>), Refused> {
-    let head = read_header.parse_next(&mut input).map_err(|_| Refused::Torn)?;
+pub fn decode_swim(mut input: &[u8]) -> Result<(Header<Identity>, Vec<Member<Identity>>), DropReason> {
+    let head = read_header.parse_next(&mut input).map_err(|_| DropReason::Corrupt)?;
     let entries = if input.is_empty() { Vec::new() } else { read_entries(&mut input)? };
-    Some((head, entries)).filter(|_| input.is_empty()).ok_or(Refused::Torn)
+    Some((head, entries)).filter(|_| input.is_empty()).ok_or(DropReason::Corrupt)
 }
 
 /// Writes so many entries as fit into `room` bytes; gives the body and how many were taken.
-pub fn entries(of: &[Member<Identity>], room: usize) -> (Vec<u8>, usize) {
+pub fn encode_entries(of: &[Member<Identity>], room: usize) -> (Vec<u8>, usize) {
     let (mut bytes, mut taken) = (vec![0, 0], 0);
     for entry in of {
-        if bytes.len() + member_bytes(entry) > room {
+        if bytes.len() + member_len(entry) > room {
             break;
         }
-        member(&mut bytes, entry);
+        put_member(&mut bytes, entry);
         taken += 1;
     }
     bytes[..2].copy_from_slice(&(taken as u16).to_be_bytes());
@@ -360,11 +369,11 @@
 }
 
 /// Reads entries; the count is not trusted.
-pub fn read_entries(input: &mut &[u8]) -> Result<Vec<Member<Identity>>, Refused> {
-    let count = be_u16.parse_next(input).map_err(|_: Fault| Refused::Torn)?;
+pub fn read_entries(input: &mut &[u8]) -> Result<Vec<Member<Identity>>, DropReason> {
+    let count = be_u16.parse_next(input).map_err(|_: ParseError| DropReason::Corrupt)?;
     let mut entries = Vec::new();
     for _ in 0..count {
-        entries.push(read_member.parse_next(input).map_err(|_| Refused::Torn)?);
+        entries.push(read_member.parse_next(input).map_err(|_| DropReason::Corrupt)?);
     }
     Ok(entries)
 }
@@ -385,8 +394,8 @@
 }
 
 /// Writes a record.
-pub fn record(bytes: &mut impl BufMut, of: &Record) {
-    address(bytes, of.address);
+pub fn put_record(bytes: &mut impl BufMut, of: &Record) {
+    put_address(bytes, of.address);
     bytes.put_u64(of.generation);
     bytes.put_u32(of.version);
     bytes.put_u32(of.age_ms);
@@ -395,86 +404,86 @@
 }
 
 /// Bytes that a record takes.
-pub fn record_bytes(of: &Record) -> usize {
+pub fn record_len(of: &Record) -> usize {
     let address = if of.address.is_ipv4() { 7 } else { 19 };
     address + 17 + of.facts.len()
 }
 
 /// Reads records up to the end.
-pub fn read_records(mut input: &[u8]) -> Result<Vec<Record>, Refused> {
+pub fn read_records(mut input: &[u8]) -> Result<Vec<Record>, DropReason> {
     let mut records = Vec::new();
     while !input.is_empty() {
-        let facts = length_take(u8).verify(|f: &[u8]| f.len() <= FACTS_MOST);
+        let facts = length_take(u8).verify(|f: &[u8]| f.len() <= MAX_FACTS_BYTES);
         let mut parts = (read_address, be_u64, be_u32, be_u32, facts);
         let read: ModalResult<_> = parts.parse_next(&mut input);
-        let (address, generation, version, age_ms, facts) = read.map_err(|_| Refused::Torn)?;
+        let (address, generation, version, age_ms, facts) = read.map_err(|_| DropReason::Corrupt)?;
         records.push(Record { address, generation, version, age_ms, facts: facts.into() });
     }
     Ok(records)
 }
 
 /// Reads numbers of a fixed form: all of the body, or nothing.
-pub fn read_numbers<const N: usize>(mut input: &[u8]) -> Result<[u64; N], Refused> {
+pub fn read_numbers<const N: usize>(mut input: &[u8]) -> Result<[u64; N], DropReason> {
     let mut numbers = [0; N];
     for number in &mut numbers {
-        *number = be_u64.parse_next(&mut input).map_err(|_: Fault| Refused::Torn)?;
+        *number = be_u64.parse_next(&mut input).map_err(|_: ParseError| DropReason::Corrupt)?;
     }
     Ok(numbers)
 }
 
 /// The form for the library that does the protocol.
 #[derive(Clone, Copy, Debug)]
-pub struct Form;
+pub struct WireCodec;
 
 /// An entry does not fit, or cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unfit;
+pub struct CodecError;
 
-impl fmt::Display for Unfit {
+impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("does not fit or cannot be read")
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for CodecError {}
 
-fn put(mut to: impl BufMut, bytes: &[u8]) -> Result<(), Unfit> {
+fn write_all(mut to: impl BufMut, bytes: &[u8]) -> Result<(), CodecError> {
     if to.remaining_mut() < bytes.len() {
-        return Err(Unfit);
+        return Err(CodecError);
     }
     to.put_slice(bytes);
     Ok(())
 }
 
-fn get<T>(mut from: impl Buf, read: impl Fn(&mut &[u8]) -> ModalResult<T>) -> Result<T, Unfit> {
+fn decode_with<T>(mut from: impl Buf, read: impl Fn(&mut &[u8]) -> ModalResult<T>) -> Result<T, CodecError> {
     let mut rest = from.chunk();
     let whole = rest.len();
-    let value = read(&mut rest).map_err(|_| Unfit)?;
+    let value = read(&mut rest).map_err(|_| CodecError)?;
     let taken = whole - rest.len();
     from.advance(taken);
     Ok(value)
 }
 
-impl Codec<Identity> for Form {
-    type Error = Unfit;
+impl Codec<Identity> for WireCodec {
+    type Error = CodecError;
 
-    fn encode_header(&mut self, of: &Header<Identity>, to: impl BufMut) -> Result<(), Unfit> {
+    fn encode_header(&mut self, of: &Header<Identity>, to: impl BufMut) -> Result<(), CodecError> {
         let mut bytes = Vec::with_capacity(256);
-        header(&mut bytes, of);
-        put(to, &bytes)
+        put_header(&mut bytes, of);
+        write_all(to, &bytes)
     }
 
-    fn decode_header(&mut self, from: impl Buf) -> Result<Header<Identity>, Unfit> {
-        get(from, read_header)
+    fn decode_header(&mut self, from: impl Buf) -> Result<Header<Identity>, CodecError> {
+        decode_with(from, read_header)
     }
 
-    fn encode_member(&mut self, of: &Member<Identity>, to: impl BufMut) -> Result<(), Unfit> {
+    fn encode_member(&mut self, of: &Member<Identity>, to: impl BufMut) -> Result<(), CodecError> {
         let mut bytes = Vec::with_capacity(64);
-        member(&mut bytes, of);
-        put(to, &bytes)
+        put_member(&mut bytes, of);
+        write_all(to, &bytes)
     }
 
-    fn decode_member(&mut self, from: impl Buf) -> Result<Member<Identity>, Unfit> {
-        get(from, read_member)
+    fn decode_member(&mut self, from: impl Buf) -> Result<Member<Identity>, CodecError> {
+        decode_with(from, read_member)
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,7 +7,7 @@
 
 use miniserde::json;
 use peers::*;
-use petreldock::fleet::show::{Shown, ShownMember};
+use petreldock::fleet::show::{FleetStatus, MemberStatus};
 use petreldock_lab::processes::Processes;
 use petreldock_lab::script::{Act, Who};
 use std::path::Path;
@@ -48,11 +48,11 @@
         self.processes.act(&text.parse().expect("an act")).expect("done");
     }
 
-    fn shown(&self, n: usize) -> Option<Shown> {
+    fn shown(&self, n: usize) -> Option<FleetStatus> {
         json::from_str(&self.processes.show(n, true)?).ok()
     }
 
-    fn member(&self, by: usize, name: &str) -> Option<ShownMember> {
+    fn member(&self, by: usize, name: &str) -> Option<MemberStatus> {
         self.shown(by)?.members.into_iter().find(|m| m.name == name)
     }
 
@@ -60,7 +60,7 @@
     fn agree(&self) {
         let running = self.processes.running();
         until("all agree on who is there", || {
-            let views: Vec<Shown> = running.iter().filter_map(|n| self.shown(*n)).collect();
+            let views: Vec<FleetStatus> = running.iter().filter_map(|n| self.shown(*n)).collect();
             let equal = views.iter().all(|v| v.hash == views[0].hash && v.live == running.len());
             (equal && views.len() == running.len()).then_some(())
         });
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -1,6 +1,6 @@
 //! The view's hard cases, each on the virtual network with a fixed seed. A failing one prints its script.
 
-use petreldock::fleet::view::{News, Phase, MEMBERS_MOST};
+use petreldock::fleet::view::{Notification, Phase, MAX_MEMBERS};
 use petreldock::fleet::wire::{self, Identity, Kind};
 use petreldock_lab::net::{address, later, Net, Plan};
 use petreldock_lab::script::{Act, Script, Who};
@@ -36,13 +36,13 @@
 fn gone(net: &Net) -> Vec<(usize, usize)> {
     let number = |i: &Identity| (0..1024).find(|n| address(*n) == i.address).expect("a member");
     let gone = net.said.iter().filter_map(|s| match &s.news {
-        News::Gone(identity) => Some((s.by, number(identity))),
+        Notification::MemberDown(identity) => Some((s.by, number(identity))),
         _ => None,
     });
     gone.collect()
 }
 
-fn said(net: &Net, by: usize, what: impl Fn(&News) -> bool) -> usize {
+fn said(net: &Net, by: usize, what: impl Fn(&Notification) -> bool) -> usize {
     net.said.iter().filter(|s| s.by == by && what(&s.news)).count()
 }
 
@@ -114,7 +114,10 @@
     assert!(gone(&net).iter().any(|(by, _)| *by == 4), "it holds others to be gone itself");
     act(&mut net, "heal");
     settles(&mut net, 5_000);
-    assert!(said(&net, 4, |n| matches!(n, News::Recanted(_))) > 0, "it takes its verdicts back");
+    assert!(
+        said(&net, 4, |n| matches!(n, Notification::VerdictsRetracted(_))) > 0,
+        "it takes its verdicts back"
+    );
     let now: Vec<Identity> = net.view(0).expect("runs").live().cloned().collect();
     let came_back = lives.iter().filter(|l| l.address != address(4) && !now.contains(l)).count();
     assert_eq!(came_back, 0, "nobody else had to come back under a new life");
@@ -226,7 +229,8 @@
     net.start(5, "n4");
     settles(&mut net, 5_000);
     net.run(20_000);
-    let named = |ours: bool| move |n: &News| matches!(n, News::SameName(_, o) if *o == ours);
+    let named =
+        |ours: bool| move |n: &Notification| matches!(n, Notification::DuplicateName(_, o) if *o == ours);
     assert_eq!((said(&net, 4, named(false)), said(&net, 4, named(true))), (1, 0));
     assert_eq!((said(&net, 5, named(true)), said(&net, 5, named(false))), (1, 0));
     for n in 0..6 {
@@ -252,7 +256,7 @@
     }
     settles(&mut net, 1_000);
     assert!(gone(&net).iter().all(|(_, about)| *about == 3), "{:?}", gone(&net));
-    assert_eq!(said(&net, 3, |n| matches!(n, News::Back(_))), 1, "it refuted once");
+    assert_eq!(said(&net, 3, |n| matches!(n, Notification::Rejoined(_))), 1, "it refuted once");
 }
 
 #[test]
@@ -261,7 +265,7 @@
     act(&mut net, "starve 7 500");
     net.run(60_000);
     assert_eq!(gone(&net), []);
-    assert!(net.view(7).expect("runs").counters().late > 0, "it noticed that it is late");
+    assert!(net.view(7).expect("runs").counters().late_wakes > 0, "it noticed that it is late");
     act(&mut net, "starve 7 0");
     settles(&mut net, 5_000);
 }
@@ -303,14 +307,14 @@
     settles(&mut net, 5_000);
     // One that only later programs can read is dropped and counted.
     let view = net.view(9).expect("runs");
-    let mut bytes = wire::seal("lab", view.own(), Kind::Sync, false, &[0; 256]);
+    let mut bytes = wire::encode_datagram("lab", view.own(), Kind::Sync, false, &[0; 256]);
     later(&mut bytes);
     bytes[3] = 2;
     let sum = wire::checksum(&bytes);
     bytes[6..10].copy_from_slice(&sum.to_be_bytes());
     net.arrives(0, address(9), bytes);
     net.run(10);
-    assert_eq!(net.view(0).expect("runs").counters().newer, 1);
+    assert_eq!(net.view(0).expect("runs").counters().unsupported_version, 1);
 }
 
 #[test]
@@ -327,13 +331,13 @@
             let ghost = Identity { name, zone: "".into(), address: at, generation: u64::MAX / 2 };
             entries.push(foca::Member::alive(ghost));
         }
-        let (body, taken) = wire::entries(&entries, 1_200);
+        let (body, taken) = wire::encode_entries(&entries, 1_200);
         assert!(taken > 10);
-        net.arrives(0, address(3), wire::seal("lab", &sender, Kind::Entries, false, &body));
+        net.arrives(0, address(3), wire::encode_datagram("lab", &sender, Kind::Entries, false, &body));
     }
     let view = net.view(0).expect("runs");
-    assert!(view.held() <= MEMBERS_MOST, "{} in the tables", view.held());
-    assert!(view.counters().full > 0, "the bound was reached");
+    assert!(view.largest_table() <= MAX_MEMBERS, "{} in the tables", view.largest_table());
+    assert!(view.counters().table_full > 0, "the bound was reached");
     for n in 0..8 {
         assert!(view.live().any(|i| i.address == address(n)), "n{n} is still there");
     }
@@ -359,11 +363,15 @@
             let ghost = Identity { name: "ghost".into(), zone: "".into(), address: at.into(), generation };
             foca::Member::down(ghost)
         };
-        let (body, _) = wire::entries(&(0..20).map(gone).collect::<Vec<_>>(), 1_200);
-        net.arrives(0, address(3), wire::seal("lab", &sender, Kind::Entries, false, &body));
+        let (body, _) = wire::encode_entries(&(0..20).map(gone).collect::<Vec<_>>(), 1_200);
+        net.arrives(0, address(3), wire::encode_datagram("lab", &sender, Kind::Entries, false, &body));
     }
     let view = net.view(0).expect("runs");
-    assert!(view.held() <= MEMBERS_MOST + 64, "{} held, beside some timers of its own", view.held());
+    assert!(
+        view.largest_table() <= MAX_MEMBERS + 64,
+        "{} held, beside some timers of its own",
+        view.largest_table()
+    );
     assert_eq!(view.live().count(), 4);
 }
 
@@ -373,25 +381,37 @@
     let hash = net.view(0).expect("runs").hash();
     let known = net.view(3).expect("runs").own().clone();
     let stranger = Identity { address: "10.0.0.1:7946".parse().expect("an address"), ..known.clone() };
-    let body = wire::entries(&[foca::Member::alive(stranger.clone())], 1_000).0;
-    let mut torn = wire::seal("lab", &known, Kind::Sync, false, &[1; 256]);
+    let body = wire::encode_entries(&[foca::Member::alive(stranger.clone())], 1_000).0;
+    let mut torn = wire::encode_datagram("lab", &known, Kind::Sync, false, &[1; 256]);
     torn[60] ^= 1;
     for (from, bytes) in [
-        (stranger.address, wire::seal("lab", &known, Kind::Sync, false, &[1; 256])),
-        (address(3), wire::seal("lab", &stranger, Kind::Sync, false, &[1; 256])),
-        (address(3), wire::seal("lab", &known, Kind::Entries, false, &body)),
-        (address(3), wire::seal("other", &known, Kind::Sync, false, &[1; 256])),
+        (stranger.address, wire::encode_datagram("lab", &known, Kind::Sync, false, &[1; 256])),
+        (address(3), wire::encode_datagram("lab", &stranger, Kind::Sync, false, &[1; 256])),
+        (address(3), wire::encode_datagram("lab", &known, Kind::Entries, false, &body)),
+        (address(3), wire::encode_datagram("other", &known, Kind::Sync, false, &[1; 256])),
         (address(3), b"GET / HTTP/1.1\r\n\r\n".to_vec()),
         (address(3), torn),
         (address(3), vec![0; 1_401]),
-        (address(0), wire::seal("lab", net.view(0).expect("runs").own(), Kind::Sync, false, &[1; 256])),
-        ("10.0.0.1:9".parse().expect("an address"), wire::seal("", &known, Kind::Ask, false, &[0; 16])),
+        (
+            address(0),
+            wire::encode_datagram("lab", net.view(0).expect("runs").own(), Kind::Sync, false, &[1; 256]),
+        ),
+        (
+            "10.0.0.1:9".parse().expect("an address"),
+            wire::encode_datagram("", &known, Kind::StatusRequest, false, &[0; 16]),
+        ),
     ] {
         net.arrives(0, from, bytes);
     }
     let counters = net.view(0).expect("runs").counters();
     assert_eq!(
-        (counters.strangers, counters.foreign, counters.torn, counters.too_long, counters.own),
+        (
+            counters.outside_prefixes,
+            counters.foreign,
+            counters.corrupt,
+            counters.too_long,
+            counters.own_address
+        ),
         (4, 2, 1, 1, 1)
     );
     net.run(3_000);
@@ -444,12 +464,12 @@
     let (asked, asks) = (net.view(0).expect("runs").own().clone(), net.view(3).expect("runs").own().clone());
     let body: Vec<u8> = [asked.generation, 0].iter().flat_map(|n| n.to_be_bytes()).collect();
     net.record = 5_000;
-    net.arrives(0, address(3), wire::seal("lab", &asks, Kind::Doubt, false, &body));
+    net.arrives(0, address(3), wire::encode_datagram("lab", &asks, Kind::SuspectQuery, false, &body));
     let heads: Vec<_> = net
         .recorded
         .iter()
         .filter(|(to, from, _)| *to == 3 && *from == address(0))
-        .filter_map(|(.., bytes)| wire::read_swim(wire::open("lab", bytes).ok()?.body).ok())
+        .filter_map(|(.., bytes)| wire::decode_swim(wire::decode_datagram("lab", bytes).ok()?.body).ok())
         .collect();
     assert!(
         heads.iter().any(|(head, _)| head.src_incarnation > 0),
@@ -458,6 +478,6 @@
     // A doubt of an earlier life is no matter of this one.
     net.recorded.clear();
     let body: Vec<u8> = [asked.generation - 1, 0].iter().flat_map(|n| n.to_be_bytes()).collect();
-    net.arrives(0, address(3), wire::seal("lab", &asks, Kind::Doubt, false, &body));
+    net.arrives(0, address(3), wire::encode_datagram("lab", &asks, Kind::SuspectQuery, false, &body));
     assert!(net.recorded.is_empty());
 }
