--- a/src/fleet/lease/assignment.rs
+++ b/src/fleet/lease/assignment.rs
@@ -1,14 +1,14 @@
-//! Whom a task is asked of first: rendezvous hashing with bounded loads, so that a fleet shares its tasks evenly and
-//! a member that comes or goes moves few of them. A preference only: it may differ between members and harms nothing.
+//! Preferred assignment of tasks to members: rendezvous hashing with bounded loads. It balances the tasks and moves
+//! few of them when a member joins or leaves. It is only a preference: members may disagree on it without harm.
 
 use super::Task;
 use std::collections::BTreeMap;
 use std::hash::Hash;
 
-/// A member takes this many times the mean at limit, in hundredths.
+/// Maximum load of a member in percent of the mean.
 const MAX_LOAD_PERCENT: usize = 115;
 
-/// A score that all members reckon alike (the finalizer of MurmurHash3 over both).
+/// A score on which all members agree (the finalizer of MurmurHash3 over both hashes).
 fn score(task: u64, member: u64) -> u64 {
     let mut h = task ^ member.rotate_left(32);
     for by in [0xff51_afd7_ed55_8ccd, 0xc4ce_b9fe_1a85_ec53] {
@@ -25,13 +25,13 @@
     }
 }
 
-/// How many tasks one member may have.
+/// Maximum number of tasks of one member.
 pub fn max_tasks_per_member(tasks: usize, members: usize) -> usize {
     (tasks * MAX_LOAD_PERCENT).div_ceil(100 * members.max(1)).max(1)
 }
 
-/// Who is to have each task. `current` is who has it now: it stays there while that one is a member and not over its
-/// part, so that joins do not reshuffle. Members are known by numbers that all agree on.
+/// Assigns each task to a member. A task stays with its holder in `current` while that is a member and not over its
+/// limit, so that joins move no tasks needlessly. `members` maps each member to a hash on which all members agree.
 pub fn assign<M: Copy + Ord + Hash>(
     tasks: &[Task],
     members: &BTreeMap<M, u64>,
@@ -44,7 +44,7 @@
         *loads.entry(member).or_default() += 1;
         assigned.insert(*task, member);
     };
-    // In an order of their own, so that whose part is full does not depend on the order of the list.
+    // Sorted by hash, so that the result does not depend on the order of the list when a member reaches its limit.
     let mut sorted: Vec<&Task> = tasks.iter().collect();
     sorted.sort_by_key(|t| (task_hash(t), **t));
     let mut unassigned = Vec::new();
--- a/src/fleet/lease/assignment/tests.rs
+++ b/src/fleet/lease/assignment/tests.rs
@@ -1,4 +1,4 @@
-//! Whom a lease goes to.
+//! Tests of the balance and stability of the assignment of tasks.
 
 use super::super::BoundedTask;
 use super::*;
--- a/src/fleet/lease/claim.rs
+++ b/src/fleet/lease/claim.rs
@@ -1,9 +1,9 @@
-//! Whoever wants one task: asks the voters, holds it while a majority's grant lasts, renews, gives up.
+//! The requesting side of a lease on one task: acquires it from a majority of voters, renews it and releases it.
 
 use super::{Answer, Ask, Ballot, Epoch, Holder, Terms};
 use crate::interface::Micros;
 
-/// Which voters said yes, by their place in the operator's list: 7 at most.
+/// The set of voters that agreed, as a bitmap over the operator's list of at most 7 voters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Votes(u8);
 
@@ -12,7 +12,7 @@
         self.0 |= 1 << voter.min(7);
     }
 
-    /// Danger: a voter counted twice, for a datagram that came twice, would make a majority of a minority.
+    /// A set, since counting a voter twice for a duplicated datagram could turn a minority into a majority.
     fn count(&self) -> usize {
         self.0.count_ones() as usize
     }
@@ -25,22 +25,22 @@
     Proposing { ballot: Ballot, votes: Votes, epoch: Epoch, sent: Micros },
 }
 
-/// What became of an answer.
+/// The result of handling an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing yet.
+    /// No change.
     Wait,
-    /// Ask all voters this now.
+    /// Send this request to all voters now.
     Ask(Ask),
-    /// The lease is held, or held longer.
+    /// The lease was acquired or renewed.
     Held(Epoch),
-    /// Somebody else holds it, for so long still by one voter's clock.
+    /// Another process holds the lease, for the given remaining time by the clock of one voter.
     HeldByOther(Holder, Micros),
-    /// Another asks at the same time; try again a little later.
+    /// Another process made a request at the same time. Retry a little later.
     Contended,
 }
 
-/// One task's claim.
+/// The claim of one process to a lease on one task.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
     own: Holder,
@@ -52,27 +52,28 @@
 }
 
 impl Claim {
-    /// A claim that holds nothing, before so many voters.
+    /// Creates a claim that holds nothing, for the given number of voters.
     pub fn new(own: Holder, voters: usize, terms: Terms) -> Claim {
         Claim { own, voters, terms, round: 0, phase: Phase::Idle, held: None }
     }
 
-    /// Under which epoch it is held now, if it is.
+    /// The epoch of the lease, if it is held now.
     pub fn held(&self, now: Micros) -> Option<Epoch> {
         self.held.filter(|(_, until)| now < *until).map(|(epoch, _)| epoch)
     }
 
-    /// Until when it is held, by the own clock.
+    /// When the lease ends by this process's clock, if it is held now.
     pub fn held_until(&self, now: Micros) -> Option<Micros> {
         self.held.filter(|(_, until)| now < *until).map(|(_, until)| until)
     }
 
-    /// Whether an act that takes so long may begin now: it is over before the lease is. To be asked at the act itself.
+    /// Whether an action of the given duration can start now and finish before the lease ends. Must be checked
+    /// immediately before the action.
     pub fn may_act(&self, now: Micros, takes: Micros) -> bool {
         self.held_until(now).is_some_and(|until| now + takes <= until)
     }
 
-    /// What it is asking under, if it is: answers to anything else change nothing.
+    /// The ballot of the pending request, if any. Answers to other ballots are ignored.
     pub fn ballot(&self) -> Option<Ballot> {
         match self.phase {
             Phase::Idle => None,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Since when it has been asking, if it has.
+    /// When the pending request was sent, if any.
     pub fn asking_since(&self) -> Option<Micros> {
         match self.phase {
             Phase::Idle => None,
@@ -89,12 +90,12 @@
         }
     }
 
-    /// Asks anew: for a renewal if it is held, else whether it is free. What was asked before counts no more.
+    /// Starts a new attempt: a renewal if the lease is held, otherwise an acquisition. Replaces the pending request.
     pub fn ask(&mut self, now: Micros) -> Ask {
         self.round += 1;
         let ballot = Ballot { round: self.round, proposer: self.own };
         match self.held(now) {
-            // Nobody else can have held it meanwhile, so that the epoch stays.
+            // No other process can have held the lease meanwhile, so the epoch stays the same.
             Some(epoch) => self.propose(now, ballot, epoch),
             None => {
                 self.held = None;
@@ -110,7 +111,7 @@
         Ask::Propose(ballot, epoch, self.terms.voter)
     }
 
-    /// Takes the answer of the voter with this place in the list.
+    /// Handles the answer of the voter at the given index in the list.
     pub fn handle(&mut self, now: Micros, voter: usize, answer: Answer) -> Step {
         if voter >= self.voters {
             return Step::Wait;
@@ -133,7 +134,7 @@
                 if votes.count() < majority {
                     return Step::Wait;
                 }
-                // Danger: counted from the answer, the term would outlast the voters'.
+                // Measured from the request: a term measured from the answer could outlast the voters' grants.
                 let (epoch, until) = (*epoch, *sent + self.terms.holder);
                 self.phase = Phase::Idle;
                 self.held = Some((epoch, until));
@@ -146,7 +147,7 @@
                 Answer::Held(of, holder, left),
                 Phase::Preparing { ballot, .. } | Phase::Proposing { ballot, .. },
             ) if of == *ballot => {
-                // One voter's word is enough to stand back: a lease that is held is not to be disturbed.
+                // One such answer is enough to back off, so that a lease in force is not disturbed.
                 self.phase = Phase::Idle;
                 Step::HeldByOther(holder, left)
             }
@@ -162,7 +163,8 @@
         }
     }
 
-    /// Gives it up, at once for this process; what the voters are to be told.
+    /// Gives up the lease, effective at once for this process. Returns the request to send to the voters, if it was
+    /// held.
     pub fn release(&mut self, now: Micros) -> Option<Ask> {
         let epoch = self.held(now);
         (self.held, self.phase) = (None, Phase::Idle);
--- a/src/fleet/lease/mod.rs
+++ b/src/fleet/lease/mod.rs
@@ -1,9 +1,11 @@
-//! Who may do a fleet-wide task, until when, under which epoch: leases by a majority of stated voters, on no disk.
+//! Leases for fleet-wide tasks: who may do a task, until when and under which epoch. A majority of a fixed list of
+//! voters grants them, and nothing is stored on disk.
 //!
-//! [`voter::Voter`] grants, [`claim::Claim`] asks and holds; both are machines without I/O and clocks. The argument for
-//! their safety stands in docs/LEASES.md, and the lab's checker explores the real machines.
+//! [`voter::Voter`] grants leases, [`claim::Claim`] requests and holds one. Both are state machines without I/O or
+//! clocks, and the lab's model checker explores exactly these implementations.
 //!
-//! Safety rests on the list of voters and on clock *rates* alone, never on the view, nor on what time it is.
+//! Safety depends on the list of voters, on bounded clock *rates*, and on epochs that start later after each restart
+//! of a voter. It never depends on the membership view.
 
 pub mod assignment;
 pub mod claim;
@@ -12,34 +14,35 @@
 use crate::interface::Micros;
 use std::net::SocketAddr;
 
-/// No term is longer: a voter that starts is silent for this long.
+/// Maximum term of a lease. A voter that starts is silent for this long.
 pub const MAX_TERM: Micros = Micros(30_000_000);
 
-/// What a lease is for. Each kind says in its type what holds when a holder is stopped between check and act.
+/// A task that a lease is for. The kind determines what keeps it safe if a holder is suspended between checking its
+/// lease and acting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Task {
-    /// Its effect carries the epoch, and whoever receives it refuses an older one than it has seen.
+    /// The effect carries the epoch, and its receiver rejects epochs older than one that it has seen.
     Fenced(FencedTask),
-    /// It takes a stated time at most, is checked at the act itself, and doing it twice is harmless.
+    /// The action takes a bounded time, the lease is checked immediately before it, and repeating it is harmless.
     Bounded(BoundedTask),
 }
 
-/// Tasks whose effect is fenced. The number names a hub, as the change log does, by a hash.
+/// Fenced tasks. The number is a hash that identifies a hub as the change log does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum FencedTask {
-    /// Publishing who may bring what to a hub.
+    /// Publishing which controllers may send how many calls to a hub.
     Plan(u64),
 }
 
 /// Tasks that may be done twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum BoundedTask {
-    /// Probing a hub that looks dead or is cold.
+    /// Probing a hub that is cold or seems to be dead.
     Probe(u64),
 }
 
 impl BoundedTask {
-    /// How long the act takes at most.
+    /// Maximum duration of the action.
     pub fn max_duration(&self) -> Micros {
         match self {
             BoundedTask::Probe(_) => Micros(500_000),
@@ -47,64 +50,65 @@
     }
 }
 
-/// One life of a process that may hold a lease: where it is reached, and which of its starts.
+/// One run of a process that may hold a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Holder {
-    /// Its address in the fleet.
+    /// The address of the process in the fleet.
     pub address: SocketAddr,
-    /// Drawn anew at each start. Danger: a process that starts again has forgotten what it holds.
+    /// A value chosen anew at each start, since a restarted process no longer knows what it held.
     pub instance_id: u64,
 }
 
-/// The number of an attempt to get or keep a lease; never used twice, as the life is part of it.
+/// Identifies one attempt to acquire or renew a lease. It is never reused, since it contains the holder's instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ballot {
-    /// Counted up by whoever asks.
+    /// Incremented by the proposer.
     pub round: u64,
-    /// Who asks.
+    /// The process that makes the attempt.
     pub proposer: Holder,
 }
 
-/// A grant's number: it only grows, from one holder of a task to the next.
+/// Fencing token of a grant. It increases with each new holder of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Epoch(pub u64);
 
-/// What whoever asks sends to voters.
+/// A request to the voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Ask {
-    /// Is the task free? If so, take no older ballot from now on.
+    /// Asks whether the task is free. If it is, the voter rejects older ballots from then on.
     Prepare(Ballot),
-    /// Grant it for a term, under an epoch.
+    /// Asks for a grant under an epoch, for a term.
     Propose(Ballot, Epoch, Micros),
-    /// It is given up.
+    /// Gives up the lease.
     Release(Holder, Epoch),
 }
 
-/// What a voter answers.
+/// A voter's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Answer {
-    /// It is free; the newest epoch known.
+    /// The task is free. Carries the newest epoch known to the voter.
     Promised(Ballot, Epoch),
-    /// Granted.
+    /// The lease is granted.
     Accepted(Ballot),
-    /// Somebody else holds it, for so long still.
+    /// Another process holds the lease, for the given remaining time.
     Held(Ballot, Holder, Micros),
-    /// A later ballot was promised, of this round.
+    /// A later ballot was promised. Carries the round of that ballot.
     Superseded(Ballot, u64),
 }
 
-/// How long holders and voters count a term.
+/// The term of a lease, as measured by voters and by holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
-    /// A voter grants nothing to others for so long after it granted.
+    /// How long a voter refuses other holders after a grant.
     pub voter: Micros,
-    /// A holder's own reckoning, from when it *sent* what was granted.
+    /// How long a holder relies on a grant, measured from when it *sent* the request.
     pub holder: Micros,
 }
 
 impl Terms {
-    /// For clocks that run too fast or too slow by up to so many parts in a thousand. The slowest holder's term is
-    /// over when the fastest voter's is: `holder / (1 - e) <= voter / (1 + e)`.
+    /// Terms for clocks whose rates are off by up to `rate_permille` thousandths. The lease of a holder with the
+    /// slowest clock must end no later than the grant of a voter with the fastest: `holder / (1 - e) <= voter / (1 +
+    /// e)`.
     pub fn new(voter: Micros, rate_permille: u64) -> Terms {
         let voter = Micros(voter.0.min(MAX_TERM.0));
         let holder = voter.0 * 1000u64.saturating_sub(rate_permille) / (1000 + rate_permille);
@@ -112,27 +116,27 @@
     }
 }
 
-/// What whoever receives fenced effects keeps: the newest epoch seen of each task, of a bounded number.
+/// Kept by a receiver of fenced effects: the newest epoch seen for each task, for a bounded number of tasks.
 #[derive(Clone, Debug, Default)]
 pub struct FenceTable {
     newest_epochs: std::collections::BTreeMap<FencedTask, Epoch>,
-    /// Of tasks that were forgotten; what is not listed is at least this new.
+    /// The newest epoch of all tasks that were evicted. It is the lower bound for every task that is not listed.
     forgotten_epoch: Epoch,
 }
 
-/// FenceTable kept at most.
+/// Maximum number of tasks in a [`FenceTable`].
 const MAX_FENCES: usize = 4_096;
 
 impl FenceTable {
-    /// Whether an effect under this epoch may be taken; one that may makes all older ones unfit.
+    /// Whether an effect under this epoch is accepted. If it is, older epochs of the task are rejected from then on.
     pub fn admit(&mut self, task: FencedTask, epoch: Epoch) -> bool {
         let newest = self.newest_epochs.get(&task).copied().unwrap_or(self.forgotten_epoch);
         if epoch < newest {
             return false;
         }
         if self.newest_epochs.len() >= MAX_FENCES && !self.newest_epochs.contains_key(&task) {
-            // Danger: a fence that is forgotten must not let an older effect in; the floor rises to it. Epochs
-            // grow with the clock, so that living tasks are above it.
+            // The lower bound rises to the epoch of the evicted task, so that its older effects stay rejected. Epochs
+            // grow with the clock, so that tasks in use are above the bound.
             if let Some((_, gone)) = self.newest_epochs.pop_first() {
                 self.forgotten_epoch = self.forgotten_epoch.max(gone);
             }
--- a/src/fleet/lease/tests.rs
+++ b/src/fleet/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Voters and claims.
+//! Tests of lease terms and of the fence table.
 
 use super::*;
 
@@ -6,7 +6,7 @@
 fn the_slowest_holder_ends_before_the_fastest_voter() {
     for permille in [0, 1, 10, 50, 333] {
         let terms = Terms::new(Micros(10_000_000), permille);
-        // By true time: a slow clock shows less than has passed, a fast one more.
+        // In true time: less time passes on a slow clock, more on a fast one.
         let holder = terms.holder.0 as f64 / (1.0 - permille as f64 / 1e3);
         let voter = terms.voter.0 as f64 / (1.0 + permille as f64 / 1e3);
         assert!(holder <= voter, "{permille}: {holder} after {voter}");
--- a/src/fleet/lease/voter.rs
+++ b/src/fleet/lease/voter.rs
@@ -1,38 +1,40 @@
-//! A voter: grants a task to one holder at a time, for a term by its own clock.
+//! The granting side of leases: grants each task to one holder at a time, for a term by the voter's own clock.
 
 use super::{Answer, Ask, Ballot, Epoch, Holder, Task, MAX_TERM};
 use crate::interface::Micros;
 use std::collections::BTreeMap;
 
-/// Tasks that a voter keeps at most.
+/// Maximum number of tasks that a voter remembers.
 pub const MAX_TASKS: usize = 8_192;
 
-/// What was granted of a task, and what was promised.
+/// The state of one task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct TaskState {
     promised: Option<Ballot>,
-    /// The newest epoch granted, to whom, and until when that holds.
+    /// The newest epoch granted, its holder, and when the grant ends.
     granted: Option<(Epoch, Holder, Micros)>,
 }
 
-/// One voter's memory. It is lost at a restart, and silence takes its place.
+/// A voter. Its state is lost at a restart, which a period of silence makes up for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    /// Until then nothing is answered.
+    /// No request is answered before this time.
     silent_until: Micros,
-    /// No epoch that this voter knew before it started, or of a state that was forgotten, is newer.
+    /// Upper bound of the epochs that this voter granted before it started, or to tasks that it has evicted.
     min_epoch: Epoch,
-    /// No ballot promised in a state that was forgotten is later.
+    /// The latest ballot promised in any evicted task.
     max_forgotten_ballot: Option<Ballot>,
     tasks: BTreeMap<Task, TaskState>,
 }
 
 impl Voter {
-    /// A voter that starts at `now`, by the Unix clock as it stood at the start, moved on by the monotonic one.
+    /// Creates a voter that starts at `now`: the Unix time at the start of the process, advanced by the monotonic
+    /// clock.
     ///
-    /// Danger: what it granted before it started is forgotten and may still be held. It answers nothing until the
-    /// longest term is over. Its epochs begin at the time when it first answers: later than any that was granted
-    /// before, as long as voters' Unix clocks agree within half of that silence (each grant takes over a millisecond).
+    /// What the voter granted before it started is forgotten and may still be in force, so it answers nothing until
+    /// the longest term is over. Its epochs begin at the time of its first possible answer. They are later than all
+    /// that were granted before, as long as the Unix clocks of voters agree within half of that silence (each grant
+    /// takes more than a millisecond).
     pub fn new(now: Micros) -> Voter {
         let silent_until = now + MAX_TERM;
         Voter {
@@ -43,12 +45,12 @@
         }
     }
 
-    /// Until when it is silent.
+    /// When the initial silence ends.
     pub fn silent_until(&self) -> Micros {
         self.silent_until
     }
 
-    /// Answers one question about a task; nothing while it is silent, and to a release.
+    /// Handles a request about a task. There is no answer during the initial silence or to a release.
     pub fn handle(&mut self, now: Micros, task: Task, ask: Ask) -> Option<Answer> {
         if now < self.silent_until {
             return None;
@@ -63,7 +65,7 @@
         let other = live.filter(|(_, holder, _)| *holder != by);
         let answer = match ask {
             Ask::Prepare(ballot) | Ask::Propose(ballot, ..) if other.is_some() => {
-                // Nothing is promised: a contender must not disturb whoever holds it.
+                // The ballot is not promised, so that a contender does not disturb the holder.
                 return other.map(|(_, holder, until)| Answer::Held(ballot, holder, until - now));
             }
             Ask::Prepare(ballot) => {
@@ -77,7 +79,7 @@
                 )
             }
             Ask::Propose(ballot, epoch, term) => {
-                // Danger: an old holder that renews late must not come between a newer epoch and its end.
+                // A late renewal by a former holder must not displace the grant of a newer epoch.
                 let newest = state.granted.map_or(self.min_epoch, |(epoch, ..)| epoch.max(self.min_epoch));
                 let own = state.granted.is_some_and(|(e, holder, _)| e == epoch && holder == by);
                 let stale = epoch < newest || epoch == newest && !own;
@@ -104,8 +106,8 @@
         Some(answer)
     }
 
-    /// Forgets a task that nobody holds when there are too many. What it knew goes into the bounds for all that is
-    /// not known, so that neither epochs nor ballots step back.
+    /// If the table is full, evicts a task that nobody holds. Its epoch and ballot enter the bounds for unknown
+    /// tasks, so that neither ever goes back.
     fn evict_idle_task(&mut self, now: Micros, task: Task) {
         if self.tasks.len() < MAX_TASKS || self.tasks.contains_key(&task) {
             return;
@@ -119,7 +121,7 @@
         self.min_epoch = state.granted.map_or(self.min_epoch, |(epoch, ..)| epoch.max(self.min_epoch));
     }
 
-    /// Tasks known.
+    /// Number of tasks in the table.
     pub fn task_count(&self) -> usize {
         self.tasks.len()
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,12 +1,13 @@
-//! What session controllers tell one another, where an operator's installation lets them talk. Off by default.
+//! Communication between the session controllers of one fleet. Off unless the operator configures it.
 //!
-//! - [`wire`]: the datagrams, their form and their bounds.
-//! - [`view`]: who is in the fleet, and each member's own facts; a machine without I/O and clocks.
-//! - [`lease`]: who may do a fleet-wide task; its machines, which nothing uses yet.
-//! - [`task`]: the one socket, and the time that the machine is given.
-//! - [`show`]: what `petreldock fleet show` asks for and gets.
+//! - [`wire`]: the datagram format and its size limits.
+//! - [`view`]: the membership view and each member's own facts; a state machine without I/O or clocks.
+//! - [`lease`]: leases for fleet-wide tasks; state machines that nothing in the program uses yet.
+//! - [`task`]: the Tokio task that owns the UDP socket and drives the view.
+//! - [`show`]: the status report behind `petreldock fleet show`.
 //!
-//! A view is a belief: it may be late or differ between members. Nothing may rest its safety on it.
+//! A view is eventually consistent: it may be late and may differ between members, so nothing may depend on it for
+//! safety.
 
 pub mod lease;
 pub mod show;
--- a/src/fleet/show.rs
+++ b/src/fleet/show.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of a view: JSON in pages, as a table on request.
+//! The status report for operators: encoded as JSON, sent in pages, formatted as a table.
 
 use super::view::{Counters, Phase, View};
 use super::wire;
@@ -6,75 +6,75 @@
 use miniserde::{json, Deserialize, Serialize};
 use std::fmt::Write;
 
-/// Pages that an answer has at most: a view of the largest table fits.
+/// Maximum number of pages of a report. A report on the largest member table fits.
 pub const MAX_PAGES: u64 = 2_048;
 
-/// A view, as an operator sees it.
+/// A membership view, as reported to operators.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FleetStatus {
     /// The fleet's name.
     pub fleet: String,
-    /// Whose view it is.
+    /// The process whose view this is.
     pub by: String,
-    /// The same where views are equal.
+    /// Hash of the view. Equal views have equal hashes.
     pub hash: String,
-    /// Members that count as there.
+    /// Number of live members.
     pub live: usize,
-    /// Everyone known.
+    /// All known members.
     pub members: Vec<MemberStatus>,
-    /// Datagrams sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams heard.
+    /// Datagrams received.
     pub heard: u64,
-    /// Dropped, by why.
+    /// Dropped datagrams and entries, by reason.
     pub dropped: Vec<DropCount>,
-    /// Suspicions raised here.
+    /// Suspicions raised by this process.
     pub suspected: u64,
-    /// Times that this process woke up too late.
+    /// Number of wakes that came too late.
     pub late: u64,
 }
 
-/// A count under a name.
+/// The number of drops for one reason.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DropCount {
-    /// What is counted.
+    /// The reason.
     pub why: String,
-    /// How many.
+    /// The number of drops.
     pub count: u64,
 }
 
-/// A member.
+/// One member, as reported to operators.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where it is reached.
+    /// The member's address.
     pub address: String,
-    /// Its zone.
+    /// The member's zone.
     pub zone: String,
-    /// The Unix millisecond of its start, or later.
+    /// Start time as a Unix timestamp in milliseconds. Higher if the member had to rejoin.
     pub generation: u64,
     /// joining, alive, suspect, leaving or gone.
     pub phase: String,
-    /// Another process has its name and started later.
+    /// Another process with the same name started later.
     pub displaced: bool,
-    /// So long it is there, or gone, as seen from here.
+    /// Milliseconds since the last change between live and gone, as seen by the reporting process.
     pub since_ms: u64,
-    /// Calls offered a second.
+    /// Calls offered per second.
     pub offered: Option<u64>,
-    /// Set-ups out and calls standing.
+    /// Set-ups awaiting an answer, plus established calls.
     pub out: Option<u64>,
-    /// The newest change-log event it has member.
+    /// Sequence number of the newest change-log event that the member has received.
     pub seq: Option<u64>,
-    /// Its program's version.
+    /// Version of the member's program.
     pub program: Option<String>,
-    /// How old that is.
+    /// Age of the member's facts in milliseconds.
     pub facts_age_ms: Option<u64>,
 }
 
-/// A view as JSON text.
+/// Renders the report on a view as JSON.
 pub fn render_json(view: &View, now: Micros) -> String {
     let member_status = |member: super::view::MemberInfo| {
         let age = member.facts.as_ref().map(|f| f.1 .0 / 1000);
@@ -110,7 +110,7 @@
     })
 }
 
-/// What was dropped, by why.
+/// The drop counters that are not zero.
 pub fn drop_counts(counters: &Counters) -> Vec<DropCount> {
     let counts = [
         ("too long", counters.too_long),
@@ -135,7 +135,7 @@
     }
 }
 
-/// One page of a text: the asker's number, which page, of how many, and its bytes.
+/// Encodes one page of a text: the request's nonce, the page number, the number of pages, and the bytes of the page.
 pub fn encode_page(nonce: u64, page: u64, text: &[u8], room: usize) -> Vec<u8> {
     let each = room.saturating_sub(24).max(1);
     let pages = text.len().div_ceil(each).max(1) as u64;
@@ -145,13 +145,13 @@
     body
 }
 
-/// Reads a page: the number asked under, which page, of how many, and its bytes.
+/// Decodes a page into its nonce, page number and number of pages, and its bytes.
 pub fn decode_page(body: &[u8]) -> Option<([u64; 3], &[u8])> {
     let (numbers, rest) = body.split_at_checked(24)?;
     Some((wire::read_numbers(numbers).ok()?, rest))
 }
 
-/// The table that an operator sees.
+/// Formats a report as a table.
 pub fn format_table(status: &FleetStatus) -> String {
     let mut text = String::new();
     let _ = writeln!(
--- a/src/fleet/task.rs
+++ b/src/fleet/task.rs
@@ -1,4 +1,4 @@
-//! The fleet's one socket and its time: hands datagrams and wakes to the view, and sends what it says.
+//! The Tokio task of the fleet: feeds datagrams and wakes to the view, and sends its datagrams.
 
 use super::show;
 use super::view::facts::Facts;
@@ -13,29 +13,31 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, Duration};
 
-/// Datagrams that are read before anything else is done. Danger: after a pause all that came meanwhile waits in
-/// the socket, acknowledgements too, and no deadline may be looked at before; but a flood must not hold time up.
+/// Maximum number of datagrams read in one go. After a pause, everything that arrived meanwhile, including
+/// acknowledgements, waits in the socket and must be read before any deadline is checked. The bound keeps a flood
+/// from delaying timers.
 const MAX_DATAGRAMS_PER_WAKE: usize = 1_024;
-/// How often the own facts are stated and the view is handed on.
+/// How often the facts of this process are updated and a snapshot is published.
 const FACTS_INTERVAL: Micros = Micros(500_000);
-/// What was dropped is said no more often.
+/// Minimum time between two log messages about dropped datagrams.
 const DROP_LOG_INTERVAL: Micros = Micros(10_000_000);
 
-/// The fleet, as the rest of the program sees it.
+/// The state of the fleet, as the rest of the program sees it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// When it was taken.
+    /// When the snapshot was taken.
     pub at: Micros,
-    /// The same where views are equal.
+    /// Hash of the view. Equal views have equal hashes.
     pub hash: u64,
-    /// Everyone known, by name.
+    /// All known members, sorted by name.
     pub members: Vec<MemberInfo>,
 }
 
-/// Where the latest snapshot is found.
+/// Receives the latest snapshot.
 pub type Snapshots = watch::Receiver<Arc<Snapshot>>;
 
-/// Ends the task as planned: the others are told. Answered by its end.
+/// Asks the task to announce a planned shutdown to the other members and to end. The channel closes when it has
+/// ended.
 pub type Leave = mpsc::Sender<()>;
 
 /// Binds the socket and starts the task.
@@ -49,7 +51,7 @@
     let socket = UdpSocket::bind(fleet.listen)
         .await
         .map_err(|e| io::Error::new(e.kind(), format!("fleet.listen: {}: {e}", fleet.listen)))?;
-    // Port 0 takes a free one; what it is, is said in the log.
+    // With port 0 the system chooses a port, which the log message below states.
     let bound = socket.local_addr()?;
     let advertise = fleet.advertise.unwrap_or(bound);
     let own = Identity {
@@ -89,19 +91,19 @@
     view: View,
     clock: Clock,
     load: watch::Receiver<LoadSummary>,
-    /// The load stated last, and when.
+    /// When the load was last published, and its values.
     last_load: (Micros, LoadSummary),
     snapshots: watch::Sender<Arc<Snapshot>>,
-    /// When facts are stated and the view is handed on next.
+    /// When facts and a snapshot are published next.
     next_publish: Micros,
-    /// When it was last said what was dropped, and how much that was.
+    /// When dropped datagrams were last logged, and their number then.
     last_drop_log: (Micros, u64),
     outputs: Vec<Output>,
 }
 
 impl FleetTask {
     async fn run(mut self, mut leave_requests: mpsc::Receiver<()>) {
-        // One more than is allowed, so that a datagram that is too long is seen to be.
+        // One byte more than allowed, so that a datagram that is too long is recognized.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let wake = self.clock.instant(self.view.next_wake().min(self.next_publish));
@@ -117,7 +119,7 @@
                 }
                 readable = self.socket.readable() => {
                     self.receive(&mut buffer);
-                    // Danger: a socket that fails for ever must not take the whole processor.
+                    // The pause keeps a socket that fails permanently from using all the processor time.
                     if readable.is_err() {
                         tokio::time::sleep(Duration::from_millis(50)).await;
                     }
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Hands in what waits in the socket.
+    /// Passes the datagrams that wait in the socket to the view.
     fn receive(&mut self, buffer: &mut [u8]) {
         for _ in 0..MAX_DATAGRAMS_PER_WAKE {
             match self.socket.try_recv_from(buffer) {
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Sends what is to be sent. A datagram that the socket does not take is lost, as any may be.
+    /// Sends the view's datagrams. A datagram that the socket does not accept is lost, which the protocol tolerates.
     fn send(&mut self) {
         for output in self.outputs.drain(..) {
             match output {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// States the own facts.
+    /// Updates the facts of this process.
     fn publish_facts(&mut self, leaving: bool) {
         let (now, load) = (self.clock.now(), *self.load.borrow());
         let span = (now - self.last_load.0).secs().max(1e-3);
--- a/src/fleet/view/facts.rs
+++ b/src/fleet/view/facts.rs
@@ -1,4 +1,5 @@
-//! What a member says of itself, and the book of what all have said. Only the owner counts a version up.
+//! Facts that each member states about itself, and the table of all members' facts. Only the owner of a record
+//! increments its version.
 
 use crate::fleet::wire::{self, Identity, Record, MAX_FACTS_BYTES};
 use crate::interface::Micros;
@@ -6,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Tags of the facts' form.
+/// Tags of the encoded facts.
 mod tag {
     pub const OFFERED: u8 = 1;
     pub const OUTSTANDING: u8 = 2;
@@ -15,25 +16,25 @@
     pub const LEAVING: u8 = 5;
 }
 
-/// A member's own small facts.
+/// The facts of one member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Facts {
-    /// Calls offered to it a second.
+    /// Calls offered to the member per second.
     pub offered: u32,
-    /// Set-ups out at hubs, and calls that stand.
+    /// Set-ups awaiting an answer from a hub, plus established calls.
     pub outstanding: u32,
-    /// The newest change-log event that it has seen.
+    /// Sequence number of the newest change-log event that the member has received.
     pub change_log_seq: u64,
-    /// Its program's version.
+    /// Version of the member's program.
     pub program: String,
-    /// It is about to end as planned.
+    /// The member is about to shut down as planned.
     pub leaving: bool,
-    /// Facts under other tags: of later parts, or of later versions.
+    /// Facts with tags that this version does not know, preserved as they are.
     pub unknown: BTreeMap<u8, Vec<u8>>,
 }
 
 impl Facts {
-    /// As they travel; what does not fit is room_left out, the last first.
+    /// Encodes the facts. Those that do not fit are omitted.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         let mut put = |tag: u8, value: &[u8]| {
@@ -53,7 +54,7 @@
         bytes
     }
 
-    /// Reads them; what is not whole or not understood is room_left as it is or out.
+    /// Decodes facts. Unknown tags are preserved, and a truncated entry ends the decoding.
     pub fn decode(mut bytes: &[u8]) -> Facts {
         let mut facts = Facts::default();
         while let [tag, length, rest @ ..] = bytes {
@@ -75,30 +76,31 @@
     }
 }
 
-/// What is known of one member.
+/// The latest facts of one member.
 #[derive(Clone, Debug)]
 struct Entry {
     generation: u64,
     version: u32,
     facts: Arc<[u8]>,
-    /// When it received_at, and how old it was then.
+    /// When the record arrived, and how old it was then.
     received_at: Micros,
     age_at_receipt: Micros,
-    /// How often it was passed on.
+    /// How often the record was forwarded.
     times_sent: u32,
 }
 
-/// All members' facts: one entry an address, which the view bounds.
+/// The facts of all members, one entry an address. The view bounds the number of entries.
 #[derive(Clone, Debug, Default)]
 pub struct FactsTable {
     entries: BTreeMap<SocketAddr, Entry>,
-    /// Where the next datagram starts looking.
+    /// The address after which the next datagram continues.
     resume_after: Option<SocketAddr>,
     version: u32,
 }
 
 impl FactsTable {
-    /// States the own facts. They count as new when they have changed, and refresh_after after `refresh_after`.
+    /// Publishes the facts of this process under a new version if they have changed or are older than
+    /// `refresh_after`.
     pub fn publish(&mut self, now: Micros, own: &Identity, facts: &Facts, refresh_after: Micros) {
         let bytes = facts.encode();
         let same = |e: &Entry| {
@@ -107,7 +109,7 @@
         if self.entries.get(&own.address).is_some_and(same) {
             return;
         }
-        // Danger: two statements under one version would never replace one another.
+        // Receivers ignore a record whose version they already have, so that each publication needs a new version.
         self.version += 1;
         let (generation, version) = (own.generation, self.version);
         let entry = Entry {
@@ -121,10 +123,10 @@
         self.entries.insert(own.address, entry);
     }
 
-    /// Takes a record in, unless what is known is as new. Gives whether it was news.
+    /// Merges a record if it is newer than the known one. Returns whether it was.
     pub fn merge(&mut self, now: Micros, record: Record) -> bool {
         let Record { address, generation, version, age_ms, facts } = record;
-        // Danger: facts must never step back, in whatever order or however often they come.
+        // Facts must never go back to an earlier version, in whatever order and however often records arrive.
         let known = self.entries.get(&address).map(|e| (e.generation, e.version));
         if known.is_some_and(|known| (generation, version) <= known) {
             return false;
@@ -137,9 +139,9 @@
         true
     }
 
-    /// The records for a datagram of so many bytes, each passed on up to `max_sends` times. Half of the room is for the
-    /// youngest, so that news run ahead; half goes round_robin from where the last datagram ended, the least passed on
-    /// first, so that nothing is room_left behind.
+    /// The records for a datagram of `room` bytes, each sent at most `max_sends` times. Half of the room goes to the
+    /// youngest records, so that news spreads fast. The other half continues round-robin after the last datagram,
+    /// least often sent records first, so that no record is starved.
     pub fn records_to_send(&mut self, now: Micros, room: usize, max_sends: u32) -> Vec<Record> {
         let from = self.resume_after.take();
         let after = |a: &SocketAddr| from.is_none_or(|f| *a > f);
@@ -172,7 +174,7 @@
         records
     }
 
-    /// Adds a member's record, if it fits.
+    /// Adds the record of a member. Returns false if it does not fit.
     fn push_record(
         &mut self,
         now: Micros,
@@ -202,22 +204,22 @@
     /// A member's facts and their age.
     pub fn get(&self, now: Micros, identity: &Identity) -> Option<(Facts, Micros)> {
         let entry = self.entries.get(&identity.address)?;
-        // An earlier life's facts say nothing of this one.
+        // Facts of an earlier generation do not apply to this one.
         let is_current = entry.generation >= identity.generation;
         is_current.then(|| (Facts::decode(&entry.facts), entry.age_at_receipt + (now - entry.received_at)))
     }
 
-    /// Forgets whoever is not to be kept.
+    /// Removes the entries of all addresses for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&SocketAddr) -> bool) {
         self.entries.retain(|a, _| keep(a));
     }
 
-    /// Entries held.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Nothing is held.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/src/fleet/view/mod.rs
+++ b/src/fleet/view/mod.rs
@@ -1,8 +1,8 @@
-//! Who is in the fleet: a machine without I/O and clocks, `handle(now, event, &mut out)`.
+//! The membership view: a state machine without I/O or clocks, driven by `handle(now, event, &mut out)`.
 //!
-//! The protocol is SWIM by the library foca. What it lacks stands here: suspects are asked directly, time that
-//! this process lost_time through counts for nobody's death, who hears nothing doubts itself, views that differ are
-//! found and mended, facts are passed on at a fixed cost, and every table has a bound (docs/VIEW.md).
+//! The protocol is SWIM as implemented by the library foca. This module adds direct queries to suspected members,
+//! compensation for time during which this process did not run, distrust of its own verdicts while it is isolated,
+//! anti-entropy between views, dissemination of facts at a bounded cost, and a bound for every table.
 
 pub mod facts;
 
@@ -19,45 +19,46 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Addresses that the table holds, live and gone. Danger: a stranger under the prefixes may invent members.
+/// Maximum number of addresses in the member table, live and down. Needed because any host under the prefixes can
+/// invent members.
 pub const MAX_MEMBERS: usize = 4_096;
-/// The longest body, whatever the names in its envelope.
+/// Maximum length of a body, which leaves room for an envelope with the longest names.
 const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - 172;
-/// Who is gone stays known for so long, so that a late rumour does not bring it back.
+/// How long a member that is down is remembered, so that a late rumour does not bring it back.
 const DOWN_MEMBER_TTL: Duration = Duration::from_secs(1_800);
-/// Seeds that are asked at a time.
+/// Maximum number of seeds and former members that are contacted in one attempt to join.
 const MAX_SEEDS_PER_JOIN: usize = 8;
-/// Sums over a view: one a bucket of addresses.
+/// Number of address buckets, each with one hash sum, by which two views are compared.
 const BUCKETS: usize = 32;
-/// Datagrams of entries that answer one message of sums.
+/// Maximum number of [`Kind::Entries`] datagrams sent in reply to one message of sums.
 const MAX_SYNC_DATAGRAMS: usize = 4;
-/// Members that facts are passed on to at a time.
+/// Number of members that each round of facts is sent to.
 const FACTS_FANOUT: usize = 2;
-/// Records that are new are passed on so often, times the logarithm of the fleet's size.
+/// A new record is sent this many times the binary logarithm of the fleet's size.
 const FACTS_RETRANSMIT_MULTIPLIER: u32 = 3;
-/// Pages of an operator's answer that are kept while it asks for them.
+/// How long a rendered status report is kept while an operator's tool fetches its pages.
 const STATUS_CACHE_TTL: Micros = Micros(5_000_000);
-/// Notes that were said once about others under the own name.
+/// Maximum number of other processes with this one's name that are reported, each once.
 const MAX_REPORTED_DUPLICATES: usize = 64;
 
-/// What a view starts from.
+/// Configuration of a view.
 #[derive(Clone, Debug)]
 pub struct ViewConfig {
-    /// The fleet's name; datagrams of others are not heard.
+    /// The fleet's name. Datagrams of other fleets are dropped.
     pub fleet: String,
-    /// This process.
+    /// The identity of this process.
     pub own: Identity,
-    /// Addresses that are asked for the fleet.
+    /// Addresses that are contacted to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Addresses outside of these are neither heard nor accepted in.
+    /// Addresses outside these prefixes are neither listened to nor accepted as members.
     pub prefixes: Vec<IpNet>,
-    /// Within about this a crash is known to most.
+    /// Approximate time within which most members detect a crash.
     pub detection: Micros,
-    /// For random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// The lengths of time that follow from the detection time.
+/// Periods and timeouts derived from the detection time.
 #[derive(Clone, Copy, Debug)]
 struct Timing {
     probe_period: Micros,
@@ -66,9 +67,9 @@
     gossip_period: Micros,
     facts_period: Micros,
     sync_period: Micros,
-    /// No answer for so long: it may be this process that is cut off, one way or both.
+    /// Without an answer for this long, this process may itself be cut off, in one direction or both.
     isolation_timeout: Micros,
-    /// A wake that is later than this was lost_time through.
+    /// If a timer fires later than this, the process is taken to have been suspended.
     max_lateness: Micros,
 }
 
@@ -88,20 +89,20 @@
     }
 }
 
-/// What a view is told.
+/// An input of the view.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// A datagram, and where it came from.
+    /// A datagram and its source address.
     Datagram(SocketAddr, &'a [u8]),
-    /// The time of [`View::next_wake`] has come. Datagrams that are waiting are to be handed in before.
+    /// The time given by [`View::next_wake`] has come. Pending datagrams must be handed in first.
     Wake,
-    /// The own facts as they are now.
+    /// The current facts of this process.
     OwnFacts(Facts),
-    /// The process ends now, as planned.
+    /// The process is shutting down as planned.
     Leave,
 }
 
-/// What a view says.
+/// An output of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram.
@@ -110,52 +111,54 @@
     Notify(Notification),
 }
 
-/// What has changed.
+/// A change that is worth logging.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notification {
-    /// A member is there.
+    /// A member is up.
     MemberUp(Identity),
-    /// A member is gone.
+    /// A member is down.
     MemberDown(Identity),
-    /// This process was held to be gone, and is back under a later generation.
+    /// Others had declared this process down, and it has rejoined under a later generation.
     Rejoined(u64),
-    /// This process got no answer for a while; whom it held to be gone meanwhile counts as there again.
+    /// This process received no answer for a while. The members that it declared down during that time, of the given
+    /// number, count as alive again.
     VerdictsRetracted(usize),
-    /// Another process has this one's name; whether this one is the one that holds it, by the later start.
+    /// Another process has the same name. The flag tells whether this process owns the name, because it started
+    /// later.
     DuplicateName(Identity, bool),
 }
 
-/// Datagrams and what became of them.
+/// Counters of datagrams and other events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Heard.
+    /// Datagrams received and passed to the protocol.
     pub received: u64,
-    /// Too long.
+    /// Dropped: too long.
     pub too_long: u64,
-    /// Not of this fleet.
+    /// Dropped: of another protocol or fleet.
     pub foreign: u64,
-    /// Torn.
+    /// Dropped: wrong checksum or length.
     pub corrupt: u64,
-    /// Of a later form.
+    /// Dropped: requires a reader of a later version.
     pub unsupported_version: u64,
-    /// From or about addresses outside of the prefixes.
+    /// Dropped: from or about an address outside the prefixes.
     pub outside_prefixes: u64,
-    /// No room in the tables.
+    /// Dropped: no room in the tables.
     pub table_full: u64,
-    /// Claimed to come from here.
+    /// Dropped: the sender address is that of this process.
     pub own_address: u64,
-    /// Suspicions that this process raised.
+    /// Suspicions raised by this process.
     pub suspected: u64,
-    /// Wakes that came too late, by the time that others were given for them.
+    /// Wakes so late that the deadlines of other members had to be extended.
     pub late_wakes: u64,
 }
 
 impl Counters {
-    /// Datagrams, or parts of them, that were dropped.
+    /// Number of datagrams and entries that were dropped.
     pub fn dropped(&self) -> u64 {
         self.too_long
             + self.foreign
@@ -179,38 +182,38 @@
     }
 }
 
-/// Where a member is in its life, as seen from here.
+/// State of a member, as seen by this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Its own facts have not come yet; of this process: nobody has joined yet.
+    /// Its facts have not arrived yet. For this process itself: no member has answered yet.
     Joining,
-    /// There.
+    /// Alive.
     Alive,
-    /// It did not answer; it counts as there.
+    /// It did not answer a probe. It still counts as live.
     Suspect,
-    /// It said that it is about to end.
+    /// It announced that it is about to shut down.
     Leaving,
-    /// It left, or joined nobody.
+    /// It left or was declared down.
     Gone,
 }
 
-/// One member, as seen from here.
+/// One member, as seen by this process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberInfo {
-    /// Who.
+    /// The member's identity.
     pub identity: Identity,
-    /// Its phase.
+    /// The member's state.
     pub phase: Phase,
-    /// Since when it is there, or gone.
+    /// Time of the last change between live and down.
     pub since: Micros,
-    /// Another process has its name and started later: this one's is not counted on.
+    /// Another process with the same name started later and owns the name.
     pub displaced: bool,
-    /// Its facts and their age.
+    /// The member's facts and their age.
     pub facts: Option<(Facts, Micros)>,
 }
 
 impl MemberInfo {
-    /// It counts as there.
+    /// Whether the member counts as live.
     pub fn is_live(&self) -> bool {
         self.phase != Phase::Gone
     }
@@ -231,7 +234,7 @@
     identity: Identity,
     live: bool,
     since: Micros,
-    /// Of the identity: sums over hundreds of members are asked for many times a second.
+    /// Cached hash of the identity: the sums over hundreds of members are computed many times a second.
     hash: u64,
     bucket: usize,
 }
@@ -244,29 +247,30 @@
 
 type Swim = Foca<Identity, WireCodec, StdRng, NoCustomBroadcast>;
 
-/// The view of one process.
+/// The membership view of one process.
 pub struct View {
     config: ViewConfig,
     timing: Timing,
     swim: Swim,
     runtime: AccumulatingRuntime<Identity>,
     rng: StdRng,
-    /// What is due, in the time that counts: the clock's less `lost_time`.
+    /// Pending timers in effective time, which is the clock less `lost_time`.
     timers: BTreeMap<(Micros, u64), TimerKind>,
     timer_seq: u64,
-    /// When who is gone will be forgotten, an address once: a flood of lives must not fill the timers.
+    /// The timer that removes each down member, at most one an address, so that a flood of generations cannot fill
+    /// `timers`.
     removal_timers: BTreeMap<SocketAddr, (Micros, u64)>,
     lost_time: Micros,
     started: Micros,
-    /// Who was ever told of, live or gone, until the protocol forgets it.
+    /// Every member that was reported up or down, until the protocol forgets it.
     known: BTreeMap<SocketAddr, KnownMember>,
     facts_table: FactsTable,
     facts: Facts,
     joined: bool,
     leaving: bool,
-    /// When anybody last joined this process, in the time that counts.
+    /// When a member last answered this process, in effective time.
     last_answer: Micros,
-    /// Who was held to be gone while nobody joined.
+    /// Members that were declared down while this process was isolated.
     isolated_verdicts: BTreeSet<Identity>,
     reported_duplicates: BTreeSet<Identity>,
     status_cache: Option<StatusCache>,
@@ -275,7 +279,7 @@
 }
 
 impl View {
-    /// A view that knows itself alone.
+    /// Creates a view that contains only this process.
     pub fn new(config: ViewConfig, now: Micros) -> View {
         let timing = Timing::for_detection(config.detection);
         let mut rng = StdRng::seed_from_u64(config.seed);
@@ -303,7 +307,7 @@
             transmissions: 4,
             config,
         };
-        // Danger: hundreds that start at once must not go on at once; every period starts at a random phase.
+        // Each period starts at a random phase, so that hundreds of processes that start at once do not send at once.
         for (period, due) in [
             (view.timing.gossip_period, TimerKind::Join),
             (view.timing.facts_period, TimerKind::Facts),
@@ -316,12 +320,12 @@
         view
     }
 
-    /// When [`Event::Wake`] is wanted.
+    /// When [`Event::Wake`] is due.
     pub fn next_wake(&self) -> Micros {
         self.timers.first_key_value().map_or(Micros(u64::MAX), |((due, _), _)| *due + self.lost_time)
     }
 
-    /// This process, as it is known by now.
+    /// The current identity of this process.
     pub fn own(&self) -> &Identity {
         self.swim.identity()
     }
@@ -331,29 +335,29 @@
         &self.config.fleet
     }
 
-    /// What became of the datagrams.
+    /// The counters.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// The most that any table holds: addresses, timers, or news that wait to be passed on.
+    /// Size of the largest table: members, facts, timers, or updates that wait to be gossiped.
     pub fn largest_table(&self) -> usize {
         let tables =
             [self.facts_table.len(), self.known.len(), self.timers.len(), self.swim.updates_backlog()];
         tables.into_iter().fold(self.swim.iter_membership_state().len(), usize::max)
     }
 
-    /// Everyone who counts as there, this process too.
+    /// All live members, including this process.
     pub fn live(&self) -> impl Iterator<Item = &Identity> {
         self.swim.iter_members().map(Member::id).chain([self.own()])
     }
 
-    /// Equal views have equal hashes: over who is there, in which life.
+    /// Hash over the identities of all live members. Equal views have equal hashes.
     pub fn hash(&self) -> u64 {
         self.bucket_sums().iter().fold(0, |sum: u64, bucket| sum.wrapping_add(*bucket))
     }
 
-    /// Everyone, sorted by name: who is there, and who is gone for a while.
+    /// All members, live and recently down, sorted by name.
     pub fn members(&self, now: Micros) -> Vec<MemberInfo> {
         let mut seen: Vec<MemberInfo> = Vec::with_capacity(self.known.len() + 1);
         let facts = |identity: &Identity| self.facts_table.get(now, identity);
@@ -384,7 +388,7 @@
             };
             key(a).cmp(&key(b))
         });
-        // Of those under one name, the one that holds it is the first.
+        // Among members with the same name, the one that owns it sorts first.
         for at in 1..seen.len() {
             let (before, this) = seen.split_at_mut(at);
             let same = before.last().is_some_and(|b| b.identity.name == this[0].identity.name && b.is_live());
@@ -393,7 +397,7 @@
         seen
     }
 
-    /// Takes one event.
+    /// Handles one event.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Output>) {
         self.discount_lost_time(now);
         let effective = now - self.lost_time;
@@ -422,8 +426,8 @@
         self.apply_runtime(now, effective, out);
     }
 
-    /// Danger: a process that was stopped, or got no processor, finds all its deadlines past at once, and its
-    /// own silence would be others' death. What it lost_time through is taken out of the time that counts.
+    /// Subtracts the time during which this process was suspended or starved. Otherwise all its deadlines would have
+    /// passed at once, and it would declare other members down because of its own silence.
     fn discount_lost_time(&mut self, now: Micros) {
         let Some(((due, _), _)) = self.timers.first_key_value() else { return };
         let late = (now - self.lost_time) - *due;
@@ -438,12 +442,12 @@
         self.timers.insert((effective + after, self.timer_seq), due);
     }
 
-    /// A random part of a period.
+    /// A random fraction of a period.
     fn random_phase(&mut self, period: Micros) -> Micros {
         Micros(self.rng.random_range(0..=period.0))
     }
 
-    /// A period, a quarter more or less.
+    /// A period with a random variation of up to a quarter in either direction.
     fn jittered(&mut self, period: Micros) -> Micros {
         period.scale(0.75) + self.random_phase(Micros(period.0 / 2))
     }
@@ -454,7 +458,8 @@
 
     fn send(&mut self, effective: Micros, to: SocketAddr, kind: Kind, body: &[u8], out: &mut Vec<Output>) {
         let bytes = self.encode(effective, kind, body);
-        // Danger: an answer must not go where an address in a datagram alone sent it.
+        // The address may come from a datagram, so that it is checked: nobody outside the prefixes may be sent
+        // anything.
         if bytes.len() > MAX_DATAGRAM_BYTES || !self.is_allowed(to) {
             return;
         }
@@ -467,8 +472,8 @@
         address.port() != 0 && self.config.prefixes.iter().any(|p| p.contains(&address.ip()))
     }
 
-    /// Nobody joined for a while. Danger: whoever is cut off, if only one way, finds all others silent; its
-    /// isolated_verdicts are not to be accepted, not by itself either once somebody is heard.
+    /// Whether no member has answered for a while. A process that is cut off, even in one direction only, finds all
+    /// others silent. Other members must ignore its verdicts, and so must it once it hears from one of them again.
     fn is_isolated(&self, effective: Micros) -> bool {
         effective - self.last_answer > self.timing.isolation_timeout
     }
@@ -477,7 +482,7 @@
         self.swim.iter_membership_state().find(|m| m.id().address == address)
     }
 
-    /// A live member, by random choice.
+    /// A random live member.
     fn random_member(&mut self) -> Option<SocketAddr> {
         let live: Vec<SocketAddr> = self.swim.iter_members().map(|m| m.id().address).collect();
         live.choose(&mut self.rng).copied()
@@ -506,7 +511,7 @@
         if sender.address == self.own().address {
             return Err(DropReason::OwnAddress);
         }
-        // Whoever is live stands in an index; the protocol's own table is searched for others alone.
+        // Live members are found in `known`. The protocol's own table is searched linearly, only for other senders.
         let live = self.known.get(&sender.address).filter(|k| k.live && k.identity == sender);
         let active = live.is_some();
         let known = if active { None } else { self.find_entry(sender.address).map(|m| m.id().clone()) };
@@ -514,13 +519,15 @@
             self.make_room(0)?;
         }
         self.counters.received += 1;
-        // One that was held to be gone while nobody joined talks: none of those isolated_verdicts is worth anything.
+        // A member that was declared down during isolation is sending, so none of the verdicts of that time can be
+        // trusted.
         if self.isolated_verdicts.contains(&sender) {
             self.retract_verdicts(effective, out);
         }
         if let Some(known) = &known {
             if foca::Identity::win_addr_conflict(known, &sender) {
-                // A start with a clock that went back would never be heard: it is told what to be later than.
+                // After a restart with a clock that was set back, the sender would be ignored for ever. It is told
+                // which generation to exceed.
                 let body = known.generation.to_be_bytes();
                 self.send(effective, sender.address, Kind::Outdated, &body, out);
                 return Ok(());
@@ -536,7 +543,8 @@
                 if announced && !entries.is_empty() {
                     return Err(DropReason::Corrupt);
                 }
-                // Danger: the library tells whom it holds to be gone so, and that one would have to come back.
+                // The library sends this message to members that it considers down. A receiver would rejoin under a
+                // new generation, so the message is ignored if the sender is isolated.
                 if isolated && head.message == Message::TurnUndead {
                     return Ok(());
                 }
@@ -575,7 +583,8 @@
                 if generation == self.own().generation && !self.leaving {
                     let doubted = Member::new(self.own().clone(), refutations as u16, State::Suspect);
                     let _ = self.swim.apply_many([doubted].into_iter(), true, &mut self.runtime);
-                    // Whoever doubts hears the refutation first: every message of this process carries it.
+                    // Every message of this process carries the refutation, so this one delivers it to the sender at
+                    // once.
                     let _ = self.swim.announce(sender, &mut self.runtime);
                 }
             }
@@ -588,13 +597,14 @@
                     out.push(Output::Notify(Notification::Rejoined(self.own().generation)));
                 }
             }
-            // From whom is not known, or no longer: SWIM tells it first.
+            // The sender is not an active member yet, or no longer one. It has to join by SWIM first.
             _ => {}
         }
         Ok(())
     }
 
-    /// Makes room for one more address than are coming; who has been gone longest is forgotten first, who is there never.
+    /// Makes room for one address beyond the `coming` ones. Evicts the member that has been down longest, never a
+    /// live one.
     fn make_room(&mut self, coming: usize) -> Result<(), DropReason> {
         if self.swim.iter_membership_state().len() + coming < MAX_MEMBERS {
             return Ok(());
@@ -610,8 +620,8 @@
         Ok(())
     }
 
-    /// The entries that may be accepted: addresses under the prefixes, no more than the table holds, and no
-    /// suspicions of one who may be cut off itself.
+    /// Returns the entries that may be applied: only addresses under the prefixes, no more than the table holds, and
+    /// no suspicions raised by a sender that may be cut off itself.
     fn screen_entries(
         &mut self,
         entries: Vec<Member<Identity>>,
@@ -619,7 +629,7 @@
         isolated: bool,
     ) -> Vec<Member<Identity>> {
         let full = self.swim.iter_membership_state().len() + entries.len() > MAX_MEMBERS;
-        // Danger: the library bounds neither its members nor the news of them that wait to be passed on.
+        // The library bounds neither its member table nor its backlog of updates.
         let mut waiting = self.swim.updates_backlog();
         let mut coming = 0;
         let mut accepted = Vec::with_capacity(entries.len());
@@ -650,7 +660,7 @@
         accepted
     }
 
-    /// Takes a record of facts in, of members that are known.
+    /// Merges a record of facts if its member is known to be live.
     fn merge_facts(&mut self, now: Micros, record: Record) {
         let known = self.known.get(&record.address);
         let lives = known.is_some_and(|k| k.live && k.identity.generation <= record.generation);
@@ -659,14 +669,14 @@
         }
     }
 
-    /// Takes back what was held while nobody joined: whoever it is about counts as there again. The others
-    /// need no new life for this process's mistake.
+    /// Retracts what was declared during isolation: the members concerned count as alive again. They must not have to
+    /// rejoin under a new generation because of this process's mistake.
     fn retract_verdicts(&mut self, effective: Micros, out: &mut Vec<Output>) {
         let isolated_verdicts = std::mem::take(&mut self.isolated_verdicts);
         out.push(Output::Notify(Notification::VerdictsRetracted(isolated_verdicts.len())));
         let table: Vec<Member<Identity>> = self.swim.iter_membership_state().cloned().collect();
         self.config.own = self.own().clone();
-        // The library has no way back for a member that is down; a new instance has.
+        // The library cannot revive a member that is down, so a new instance replaces it.
         self.swim = new_swim(&self.config, &self.timing, &mut self.rng, self.transmissions);
         self.timers.retain(|_, due| !matches!(due, TimerKind::Swim(_) | TimerKind::QuerySuspect(..)));
         self.removal_timers.clear();
@@ -679,9 +689,9 @@
         self.schedule(effective, Micros(0), TimerKind::Join);
     }
 
-    // ---- sums over the view ----
+    // ---- anti-entropy ----
 
-    /// One sum a bucket, over who is there; equal views have equal sums.
+    /// Encodes the hash sums of all buckets. Equal views have equal sums.
     fn encode_sums(&self) -> Vec<u8> {
         self.bucket_sums().iter().flat_map(|s| s.to_be_bytes()).collect()
     }
@@ -695,7 +705,7 @@
         sums
     }
 
-    /// Sends what is held of the buckets that differ: who is there, and who is known to be gone.
+    /// Sends the entries of the buckets that differ, of live and of down members.
     fn send_differing_entries(
         &mut self,
         effective: Micros,
@@ -715,7 +725,7 @@
                 entries.push(member.clone());
             }
         }
-        // More than fits goes another time, from another place on.
+        // If not all entries fit, the random start makes a later reply cover the rest.
         if !entries.is_empty() {
             let start = self.rng.random_range(0..entries.len());
             entries.rotate_left(start);
@@ -729,13 +739,13 @@
             rest = &rest[taken..];
             self.send(effective, to, Kind::Entries, &body, out);
         }
-        // A difference was found: the next look comes sooner.
+        // The views differ, so the next comparison comes sooner.
         let soon = self.random_phase(self.timing.gossip_period);
         self.timers.retain(|_, due| !matches!(due, TimerKind::Sync));
         self.schedule(effective, self.timing.gossip_period + soon, TimerKind::Sync);
     }
 
-    // ---- what is due ----
+    // ---- timers ----
 
     fn on_timer(&mut self, now: Micros, effective: Micros, due: TimerKind, out: &mut Vec<Output>) {
         match due {
@@ -770,8 +780,8 @@
         }
     }
 
-    /// Asks for the fleet: all seeds while alone, one of those not seen now and then, as a split may have left
-    /// them on the other side and forgotten.
+    /// Contacts other processes to join the fleet: seeds and down members while alone. Otherwise one seed that is not
+    /// a live member, since a network split may have left it on the other side and removed it from the table.
     fn join(&mut self, effective: Micros) {
         let alone = self.swim.num_members() == 0;
         let period =
@@ -821,7 +831,8 @@
         }
     }
 
-    /// Asks a suspect directly, until it has refuted or is gone: gossip alone may be too slow either way.
+    /// Queries a suspected member directly until it refutes or is declared down, since gossip may be too slow to
+    /// deliver the suspicion or the refutation in time.
     fn query_suspect(
         &mut self,
         effective: Micros,
@@ -845,10 +856,10 @@
         );
     }
 
-    /// Looks after what no event brings up.
+    /// Periodic maintenance of what no event triggers.
     fn housekeep(&mut self, out: &mut Vec<Output>) {
         let size = self.swim.num_members() as u32 + 1;
-        // As memberlist has it: four times the decimal logarithm of the size.
+        // The same formula as in HashiCorp memberlist: four times the decimal logarithm of the size.
         let times = (4.0 * f64::from(size + 1).log10()).ceil().clamp(4.0, 24.0) as u8;
         if times != self.transmissions {
             self.transmissions = times;
@@ -873,7 +884,7 @@
         self.facts_table.retain(|a| table.contains(a));
     }
 
-    /// Does what the protocol's library said is to be done.
+    /// Applies the outputs of the SWIM library: datagrams, timers and notifications.
     fn apply_runtime(&mut self, now: Micros, effective: Micros, out: &mut Vec<Output>) {
         while let Some((to, body)) = self.runtime.to_send() {
             self.send(effective, to.address, Kind::Swim, &body, out);
@@ -934,9 +945,9 @@
         self.known.insert(identity.address, KnownMember { identity, live, since: now, hash, bucket });
     }
 
-    // ---- operators ----
+    // ---- status requests ----
 
-    /// Answers an operator on this machine, a page at a time.
+    /// Answers a status request from this machine with one page of the report.
     fn answer_status_request(
         &mut self,
         now: Micros,
@@ -945,7 +956,8 @@
         out: &mut Vec<Output>,
     ) -> Result<(), DropReason> {
         let ip = from.ip();
-        // Danger: this is the one answer that goes to where a datagram came from.
+        // This is the only reply that goes to the source address of a datagram, which can be forged, so only local
+        // addresses get one.
         let here = ip.is_loopback() || ip == self.own().address.ip();
         if !here {
             return Err(DropReason::OutsidePrefixes);
@@ -965,12 +977,12 @@
     }
 }
 
-/// Which of two under one name holds it: the one that started later.
+/// The order of processes with the same name: the highest, which started last, owns the name.
 fn name_precedence(identity: &Identity) -> (u64, SocketAddr) {
     (identity.generation, identity.address)
 }
 
-/// A hash that all processes agree on (FNV-1a, mixed).
+/// A hash that is the same in all processes (FNV-1a with a final mixing step).
 fn hash_bytes(bytes: &[u8]) -> u64 {
     let step = |h: u64, b: &u8| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3);
     let h = bytes.iter().fold(0xcbf2_9ce4_8422_2325, step);
@@ -983,7 +995,8 @@
     hash_bytes(&bytes)
 }
 
-/// In which sum an address counts: the same for all its lives, so that an old one's place is looked at too.
+/// The bucket of an address. It does not depend on the generation, so that a stale identity is found in the same
+/// bucket.
 fn bucket_of(address: SocketAddr) -> usize {
     let mut bytes = Vec::with_capacity(19);
     wire::put_address(&mut bytes, address);
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -1,6 +1,6 @@
-//! The fleet's datagrams: one envelope, and what stands in it (docs/FLEET-WIRE.md).
+//! The datagram format of the fleet protocol: a common envelope and the bodies that it carries.
 //!
-//! Everything is big-endian. Nothing here allocates more than a datagram's length allows.
+//! All integers are big-endian. Decoding never allocates more than the length of the datagram allows.
 
 use bytes::{Buf, BufMut};
 use foca::{Codec, Header, Member, Message, State};
@@ -12,45 +12,47 @@
 use winnow::token::take;
 use winnow::{ModalResult, Parser};
 
-/// No datagram is longer.
+/// Maximum length of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// The form spoken.
+/// Protocol version written by this program.
 pub const VERSION: u8 = 1;
-/// The oldest reader that understands what is written; what comes after the body it skips.
+/// Oldest protocol version whose readers understand what this program writes. Such a reader skips any bytes after the
+/// body.
 pub const MIN_READER_VERSION: u8 = 1;
-/// A member's name has at most so many bytes.
+/// Maximum length of a member's name.
 pub const MAX_NAME_BYTES: usize = 64;
-/// A fleet's or a zone's name has at most so many bytes.
+/// Maximum length of a fleet or zone name.
 pub const MAX_LABEL_BYTES: usize = 32;
-/// One member's facts have at most so many bytes.
+/// Maximum length of one member's encoded facts.
 pub const MAX_FACTS_BYTES: usize = 200;
 
 const MAGIC: [u8; 2] = *b"PF";
-/// Magic, version, least reader, kind, flags, checksum.
+/// Magic, version, minimum reader version, kind, flags, checksum.
 const HEADER_BYTES: usize = 10;
-/// Who sends it has heard nothing for a while: its suspicions may be its own fault.
+/// Flag: the sender has received no answer for a while, so its suspicions may be due to its own connectivity.
 const FLAG_ISOLATED: u8 = 1;
 
-/// What a datagram is for. Other values are left to later versions.
+/// The kind of a datagram. All other values are reserved for later versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A message of the membership protocol (SWIM).
+    /// A message of the SWIM membership protocol.
     Swim = 1,
-    /// Members' facts.
+    /// Facts about members.
     Facts = 2,
-    /// Sums over the sender's view; what differs is answered with [`Kind::Entries`] and sums in return.
+    /// Per-bucket hash sums of the sender's view. The receiver answers with [`Kind::Entries`] for the buckets that
+    /// differ and with its own sums.
     Sync = 3,
-    /// The sums in return: answered with entries alone.
+    /// The receiver's sums in reply to [`Kind::Sync`], answered with entries only.
     SyncReply = 4,
-    /// Entries of a view.
+    /// Membership entries.
     Entries = 5,
-    /// The receiver is suspected: it is to refute.
+    /// Tells the receiver that it is suspected, so that it can refute the suspicion.
     SuspectQuery = 6,
-    /// The receiver's identity is older than one that is known at its address.
+    /// Tells the receiver that a later generation than its own is known for its address.
     Outdated = 7,
-    /// An operator asks for the view.
+    /// An operator's request for one page of the view.
     StatusRequest = 8,
-    /// A page of it.
+    /// One page of the view, in reply to [`Kind::StatusRequest`].
     StatusPage = 9,
 }
 
@@ -63,26 +65,26 @@
     }
 }
 
-/// One life of a member. Two at one address are told apart by their generation, the later one counts.
+/// One run of a member process. Of two identities with the same address, the one with the later generation wins.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Identity {
-    /// The process's name, the same after a restart.
+    /// The name of the process, which stays the same across restarts.
     pub name: Arc<str>,
-    /// Its zone; empty: none.
+    /// The zone, or an empty string for none.
     pub zone: Arc<str>,
-    /// Where it is reached.
+    /// The address at which the process receives datagrams.
     pub address: SocketAddr,
-    /// The Unix millisecond of its start, and one more each time that it had to come back.
+    /// Start time as a Unix timestamp in milliseconds. Higher if the process had to rejoin under a new identity.
     pub generation: u64,
 }
 
 impl Identity {
-    /// Whoever is reached at an address, before more is known of it.
+    /// An identity of which only the address is known.
     pub fn from_address(address: SocketAddr) -> Identity {
         Identity { name: "".into(), zone: "".into(), address, generation: 0 }
     }
 
-    /// The same member's next life.
+    /// The identity of the same member with the generation that follows `generation`.
     pub fn with_generation_after(&self, generation: u64) -> Identity {
         Identity { generation: generation.saturating_add(1), ..self.clone() }
     }
@@ -110,39 +112,40 @@
     }
 }
 
-/// Why a datagram is dropped.
+/// Why a datagram or an entry was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// Over [`MAX_DATAGRAM_BYTES`].
+    /// It is longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
-    /// Not of this protocol, or of another fleet.
+    /// It belongs to another protocol or another fleet.
     Foreign,
     /// Its checksum or one of its lengths is wrong.
     Corrupt,
-    /// Only a later version can read it.
+    /// It requires a reader of a later version.
     UnsupportedVersion,
-    /// Its sender, or an address that it names, is not under the operator's prefixes.
+    /// Its sender, or an address that it contains, is outside the configured prefixes.
     OutsidePrefixes,
-    /// The tables are full.
+    /// The member table is full.
     TableFull,
-    /// It claims to come from this process.
+    /// Its sender address is that of this process.
     OwnAddress,
 }
 
-/// A datagram, as far as its envelope goes.
+/// A decoded datagram whose body has not been decoded yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope<'a> {
-    /// What it is for.
+    /// The kind of the body.
     pub kind: Kind,
-    /// The sender may be the one that is cut off.
+    /// The sender has received no answer for a while and may be cut off itself.
     pub isolated: bool,
-    /// Who sent it; answers go to the address that it states. An operator who asks has no name.
+    /// The sender. Replies go to the address stated here. The name is empty in an operator's request.
     pub sender: Identity,
-    /// What it says.
+    /// The encoded body.
     pub body: &'a [u8],
 }
 
-/// Writes a datagram. A body that does not fit gives one that is too long, which nobody sends.
+/// Encodes a datagram. A body that is too long yields a datagram over [`MAX_DATAGRAM_BYTES`], which the view does not
+/// send.
 pub fn encode_datagram(fleet: &str, sender: &Identity, kind: Kind, isolated: bool, body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     bytes.extend_from_slice(&MAGIC);
@@ -165,12 +168,12 @@
     bytes
 }
 
-/// Bytes of an envelope around a body.
+/// Length of an envelope with an empty body.
 pub fn overhead(fleet: &str, sender: &Identity) -> usize {
     encode_datagram(fleet, sender, Kind::Swim, false, &[]).len()
 }
 
-/// Reads a datagram of this fleet.
+/// Decodes the envelope of a datagram that belongs to `fleet`.
 pub fn decode_datagram<'a>(fleet: &str, bytes: &'a [u8]) -> Result<Envelope<'a>, DropReason> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DropReason::TooLong);
@@ -181,14 +184,14 @@
     if checksum(bytes) != u32::from_be_bytes([bytes[6], bytes[7], bytes[8], bytes[9]]) {
         return Err(DropReason::Corrupt);
     }
-    // After the sum: what is torn must not be taken for a later version.
+    // Checked after the checksum, so that a corrupt datagram is not reported as a later version.
     if bytes[3] > VERSION {
         return Err(DropReason::UnsupportedVersion);
     }
     let mut rest = &bytes[HEADER_BYTES..];
     let of = read_label.parse_next(&mut rest).map_err(|_| DropReason::Corrupt)?;
     let kind = Kind::from_code(bytes[4]).ok_or(DropReason::UnsupportedVersion)?;
-    // An operator who asks need not know the fleet's name.
+    // An operator's tool does not need to know the name of the fleet.
     if &*of != fleet && !matches!(kind, Kind::StatusRequest | Kind::StatusPage) {
         return Err(DropReason::Foreign);
     }
@@ -197,7 +200,7 @@
     Ok(Envelope { kind, isolated: bytes[5] & FLAG_ISOLATED != 0, sender, body })
 }
 
-/// The form's checksum, over all but itself.
+/// CRC-32C of the datagram without its checksum field.
 pub fn checksum(bytes: &[u8]) -> u32 {
     crc32c::crc32c_append(crc32c::crc32c(&bytes[..6]), &bytes[HEADER_BYTES..])
 }
@@ -214,7 +217,7 @@
     text.parse_next(input)
 }
 
-/// Writes an address: the family, the address, the port.
+/// Writes an address: family (4 or 6), IP address, port.
 pub fn put_address(bytes: &mut impl BufMut, address: SocketAddr) {
     match address.ip() {
         IpAddr::V4(ip) => {
@@ -256,7 +259,7 @@
     Ok(Identity { name, zone, address, generation })
 }
 
-/// Writes an entry of a view: who, the refutations, the state.
+/// Writes a membership entry: identity, incarnation, state.
 pub fn put_member(bytes: &mut impl BufMut, of: &Member<Identity>) {
     put_identity(bytes, of.id());
     bytes.put_u16(of.incarnation());
@@ -267,7 +270,7 @@
     });
 }
 
-/// Reads an entry of a view.
+/// Reads a membership entry.
 pub fn read_member(input: &mut &[u8]) -> ModalResult<Member<Identity>> {
     let (id, incarnation) = (read_identity, be_u16).parse_next(input)?;
     let mut state = u8.verify_map(|s| match s {
@@ -279,14 +282,14 @@
     Ok(Member::new(id, incarnation, state.parse_next(input)?))
 }
 
-/// Bytes that an entry takes.
+/// Encoded length of a membership entry.
 pub fn member_len(of: &Member<Identity>) -> usize {
     let mut bytes = Vec::with_capacity(64);
     put_member(&mut bytes, of);
     bytes.len()
 }
 
-/// Writes the head of a SWIM message. Who sent it stands in the envelope too, so that a body can be read alone.
+/// Writes the header of a SWIM message. It repeats the sender of the envelope, so that a body can be decoded alone.
 fn put_header(bytes: &mut impl BufMut, of: &Header<Identity>) {
     put_identity(bytes, &of.src);
     bytes.put_u16(of.src_incarnation);
@@ -311,7 +314,7 @@
     }
 }
 
-/// Reads the head of a SWIM message.
+/// Reads the header of a SWIM message.
 pub fn read_header(input: &mut &[u8]) -> ModalResult<Header<Identity>> {
     let (src, src_incarnation, dst) = (read_identity, be_u16, read_identity).parse_next(input)?;
     let message = match u8.parse_next(input)? {
@@ -336,7 +339,7 @@
     Ok(Header { src, src_incarnation, dst, message })
 }
 
-/// Writes a SWIM message with the entries that it carries.
+/// Encodes a SWIM message with its membership entries.
 pub fn encode_swim(head: &Header<Identity>, entries: &[Member<Identity>]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     put_header(&mut bytes, head);
@@ -347,14 +350,14 @@
     bytes
 }
 
-/// Reads a whole SWIM message. No other data is carried along.
+/// Decodes a complete SWIM message. Bytes after the entries are an error.
 pub fn decode_swim(mut input: &[u8]) -> Result<(Header<Identity>, Vec<Member<Identity>>), DropReason> {
     let head = read_header.parse_next(&mut input).map_err(|_| DropReason::Corrupt)?;
     let entries = if input.is_empty() { Vec::new() } else { read_entries(&mut input)? };
     Some((head, entries)).filter(|_| input.is_empty()).ok_or(DropReason::Corrupt)
 }
 
-/// Writes so many entries as fit into `room` bytes; gives the body and how many were taken.
+/// Encodes as many entries as fit into `room` bytes. Returns the body and the number of entries in it.
 pub fn encode_entries(of: &[Member<Identity>], room: usize) -> (Vec<u8>, usize) {
     let (mut bytes, mut taken) = (vec![0, 0], 0);
     for entry in of {
@@ -368,7 +371,7 @@
     (bytes, taken)
 }
 
-/// Reads entries; the count is not trusted.
+/// Reads entries. Memory is allocated only for entries that are present, whatever the count field says.
 pub fn read_entries(input: &mut &[u8]) -> Result<Vec<Member<Identity>>, DropReason> {
     let count = be_u16.parse_next(input).map_err(|_: ParseError| DropReason::Corrupt)?;
     let mut entries = Vec::new();
@@ -378,18 +381,18 @@
     Ok(entries)
 }
 
-/// One member's facts, as they travel.
+/// The facts of one member, as sent between members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Whose.
+    /// The address of the member.
     pub address: SocketAddr,
-    /// Of which of its lives.
+    /// The generation of the member that stated the facts.
     pub generation: u64,
-    /// Counted up by the owner alone.
+    /// Version of the facts. Only the member itself increments it.
     pub version: u32,
-    /// How long ago the owner stated them, in milliseconds, by the clocks of those that passed them on.
+    /// Time since the member stated the facts, in milliseconds, as measured by the members that forwarded them.
     pub age_ms: u32,
-    /// The facts: tag, length, value, and so on. Unknown tags are kept.
+    /// The facts as a sequence of tag, length and value. Unknown tags are preserved.
     pub facts: Arc<[u8]>,
 }
 
@@ -403,13 +406,13 @@
     bytes.put_slice(&of.facts);
 }
 
-/// Bytes that a record takes.
+/// Encoded length of a record.
 pub fn record_len(of: &Record) -> usize {
     let address = if of.address.is_ipv4() { 7 } else { 19 };
     address + 17 + of.facts.len()
 }
 
-/// Reads records up to the end.
+/// Reads records until the end of the input.
 pub fn read_records(mut input: &[u8]) -> Result<Vec<Record>, DropReason> {
     let mut records = Vec::new();
     while !input.is_empty() {
@@ -422,7 +425,7 @@
     Ok(records)
 }
 
-/// Reads numbers of a fixed form: all of the body, or nothing.
+/// Reads `N` 64-bit integers from the start of a body.
 pub fn read_numbers<const N: usize>(mut input: &[u8]) -> Result<[u64; N], DropReason> {
     let mut numbers = [0; N];
     for number in &mut numbers {
@@ -431,11 +434,11 @@
     Ok(numbers)
 }
 
-/// The form for the library that does the protocol.
+/// The codec of this format for the SWIM library.
 #[derive(Clone, Copy, Debug)]
 pub struct WireCodec;
 
-/// An entry does not fit, or cannot be read.
+/// An entry does not fit into the buffer, or the input cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CodecError;
 
