--- a/src/fleet/lease/claim.rs
+++ b/src/fleet/lease/claim.rs
@@ -118,8 +118,8 @@
         }
         let majority = self.voters / 2 + 1;
         match (answer, &mut self.phase) {
-            (Answer::Promised(of, epoch), Phase::Preparing { ballot, votes, newest, .. })
-                if of == *ballot =>
+            (Answer::Promised(answered, epoch), Phase::Preparing { ballot, votes, newest, .. })
+                if answered == *ballot =>
             {
                 votes.add(voter);
                 *newest = epoch.max(*newest);
@@ -129,7 +129,9 @@
                 let (ballot, next) = (*ballot, Epoch(newest.0.saturating_add(1)));
                 Step::Ask(self.propose(now, ballot, next))
             }
-            (Answer::Accepted(of), Phase::Proposing { ballot, votes, epoch, sent }) if of == *ballot => {
+            (Answer::Accepted(answered), Phase::Proposing { ballot, votes, epoch, sent })
+                if answered == *ballot =>
+            {
                 votes.add(voter);
                 if votes.count() < majority {
                     return Step::Wait;
@@ -144,17 +146,17 @@
                 }
             }
             (
-                Answer::Held(of, holder, left),
+                Answer::Held(answered, holder, remaining),
                 Phase::Preparing { ballot, .. } | Phase::Proposing { ballot, .. },
-            ) if of == *ballot => {
+            ) if answered == *ballot => {
                 // One such answer is enough to back off, so that a lease in force is not disturbed.
                 self.phase = Phase::Idle;
-                Step::HeldByOther(holder, left)
+                Step::HeldByOther(holder, remaining)
             }
             (
-                Answer::Superseded(of, round),
+                Answer::Superseded(answered, round),
                 Phase::Preparing { ballot, .. } | Phase::Proposing { ballot, .. },
-            ) if of == *ballot => {
+            ) if answered == *ballot => {
                 self.round = self.round.max(round);
                 self.phase = Phase::Idle;
                 Step::Contended
--- a/src/fleet/lease/mod.rs
+++ b/src/fleet/lease/mod.rs
@@ -4,8 +4,8 @@
 //! [`voter::Voter`] grants leases, [`claim::Claim`] requests and holds one. Both are state machines without I/O or
 //! clocks, and the lab's model checker explores exactly these implementations.
 //!
-//! Safety depends on the list of voters, on bounded clock *rates*, and on epochs that start later after each restart
-//! of a voter. It never depends on the membership view.
+//! Safety depends only on the list of voters and on bounded clock *rates*, never on the membership view or the time of
+//! day.
 
 pub mod assignment;
 pub mod claim;
@@ -30,7 +30,7 @@
 /// Fenced tasks. The number is a hash that identifies a hub as the change log does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum FencedTask {
-    /// Publishing which controllers may send how many calls to a hub.
+    /// Publishing what each controller may send to a hub.
     Plan(u64),
 }
 
--- a/src/fleet/lease/voter.rs
+++ b/src/fleet/lease/voter.rs
@@ -4,7 +4,7 @@
 use crate::interface::Micros;
 use std::collections::BTreeMap;
 
-/// Maximum number of tasks that a voter remembers.
+/// Number of tasks from which on a voter evicts one that nobody holds before it adds another.
 pub const MAX_TASKS: usize = 8_192;
 
 /// The state of one task.
@@ -57,16 +57,16 @@
         }
         let forgotten = TaskState { promised: self.max_forgotten_ballot, granted: None };
         let mut state = self.tasks.get(&task).copied().unwrap_or(forgotten);
-        let by = match ask {
+        let requester = match ask {
             Ask::Prepare(ballot) | Ask::Propose(ballot, ..) => ballot.proposer,
-            Ask::Release(by, _) => by,
+            Ask::Release(holder, _) => holder,
         };
         let live = state.granted.filter(|(.., until)| *until > now);
-        let other = live.filter(|(_, holder, _)| *holder != by);
+        let held_by_other = live.filter(|(_, holder, _)| *holder != requester);
         let answer = match ask {
-            Ask::Prepare(ballot) | Ask::Propose(ballot, ..) if other.is_some() => {
+            Ask::Prepare(ballot) | Ask::Propose(ballot, ..) if held_by_other.is_some() => {
                 // The ballot is not promised, so that a contender does not disturb the holder.
-                return other.map(|(_, holder, until)| Answer::Held(ballot, holder, until - now));
+                return held_by_other.map(|(_, holder, until)| Answer::Held(ballot, holder, until - now));
             }
             Ask::Prepare(ballot) => {
                 if state.promised.is_some_and(|p| ballot <= p) {
@@ -81,14 +81,15 @@
             Ask::Propose(ballot, epoch, term) => {
                 // A late renewal by a former holder must not displace the grant of a newer epoch.
                 let newest = state.granted.map_or(self.min_epoch, |(epoch, ..)| epoch.max(self.min_epoch));
-                let own = state.granted.is_some_and(|(e, holder, _)| e == epoch && holder == by);
-                let stale = epoch < newest || epoch == newest && !own;
+                let is_renewal =
+                    state.granted.is_some_and(|(e, holder, _)| e == epoch && holder == requester);
+                let stale = epoch < newest || epoch == newest && !is_renewal;
                 if stale || state.promised.is_some_and(|p| ballot < p) {
                     return Some(Answer::Superseded(ballot, state.promised.map_or(0, |p| p.round)));
                 }
                 state.promised = Some(ballot);
                 let term = Micros(term.0.min(MAX_TERM.0));
-                state.granted = Some((epoch, by, now + term));
+                state.granted = Some((epoch, requester, now + term));
                 Answer::Accepted(ballot)
             }
             Ask::Release(holder, epoch) => {
--- a/src/fleet/show.rs
+++ b/src/fleet/show.rs
@@ -121,8 +121,8 @@
         ("full", counters.table_full),
         ("own address", counters.own_address),
     ];
-    let some = counts.into_iter().filter(|(_, count)| *count > 0);
-    some.map(|(why, count)| DropCount { why: why.into(), count }).collect()
+    let nonzero = counts.into_iter().filter(|(_, count)| *count > 0);
+    nonzero.map(|(why, count)| DropCount { why: why.into(), count }).collect()
 }
 
 fn phase_name(phase: Phase) -> &'static str {
@@ -136,12 +136,14 @@
 }
 
 /// Encodes one page of a text: the request's nonce, the page number, the number of pages, and the bytes of the page.
-pub fn encode_page(nonce: u64, page: u64, text: &[u8], room: usize) -> Vec<u8> {
-    let each = room.saturating_sub(24).max(1);
-    let pages = text.len().div_ceil(each).max(1) as u64;
+pub fn encode_page(nonce: u64, page: u64, text: &[u8], max_len: usize) -> Vec<u8> {
+    let page_len = max_len.saturating_sub(24).max(1);
+    let pages = text.len().div_ceil(page_len).max(1) as u64;
     let mut body: Vec<u8> = [nonce, page, pages].iter().flat_map(|n| n.to_be_bytes()).collect();
-    let from = usize::try_from(page).ok().and_then(|p| p.checked_mul(each)).unwrap_or(usize::MAX);
-    body.extend_from_slice(text.get(from..text.len().min(from.saturating_add(each))).unwrap_or_default());
+    let start = usize::try_from(page).ok().and_then(|p| p.checked_mul(page_len)).unwrap_or(usize::MAX);
+    body.extend_from_slice(
+        text.get(start..text.len().min(start.saturating_add(page_len))).unwrap_or_default(),
+    );
     body
 }
 
@@ -157,7 +159,7 @@
     let _ = writeln!(
         text,
         "fleet {}, seen by {}: {} live, hash {}\n\
-         datagrams sent {} ({} bytes), heard {}; suspicions raised {}; woken late {}",
+         datagrams sent {} ({} bytes), received {}; suspicions raised {}; late wakes {}",
         status.fleet,
         status.by,
         status.live,
@@ -176,7 +178,7 @@
         "{:<20}{:<22}{:<12}{:<10}{:>9}{:>9}{:>8}{:>8}{:>8}  program",
         "name", "address", "zone", "phase", "since s", "calls/s", "out", "event", "age ms"
     );
-    let or = |n: Option<u64>| n.map_or("-".into(), |n| n.to_string());
+    let or_dash = |n: Option<u64>| n.map_or("-".into(), |n| n.to_string());
     for m in &status.members {
         let phase = if m.displaced { format!("{}*", m.phase) } else { m.phase.clone() };
         let _ = writeln!(
@@ -187,10 +189,10 @@
             m.zone,
             phase,
             m.since_ms as f64 / 1e3,
-            or(m.offered),
-            or(m.out),
-            or(m.seq),
-            or(m.facts_age_ms),
+            or_dash(m.offered),
+            or_dash(m.out),
+            or_dash(m.seq),
+            or_dash(m.facts_age_ms),
             m.program.as_deref().unwrap_or("-")
         );
     }
--- a/src/fleet/task.rs
+++ b/src/fleet/task.rs
@@ -201,19 +201,19 @@
         }
         Notification::MemberDown(identity) => tracing::info!(member = %identity, "fleet: gone"),
         Notification::Rejoined(generation) => {
-            tracing::warn!(generation, "fleet: this process was held to be gone, and is back");
+            tracing::warn!(generation, "fleet: rejoined under a later generation");
         }
         Notification::VerdictsRetracted(members) => {
             tracing::warn!(
                 members,
-                "fleet: nobody answered for a while; who seemed gone counts as there again"
+                "fleet: no member answered for a while; members declared down meanwhile count as alive again"
             );
         }
         Notification::DuplicateName(other, true) => {
-            tracing::warn!(%other, "fleet: another process has this one's name; this one started later and holds it");
+            tracing::warn!(%other, "fleet: another process has the same name; this one started later and owns it");
         }
         Notification::DuplicateName(other, false) => {
-            tracing::error!(%other, "fleet: another process has this one's name and started later: it is not counted on");
+            tracing::error!(%other, "fleet: another process with the same name started later and owns it");
         }
     }
 }
--- a/src/fleet/view/mod.rs
+++ b/src/fleet/view/mod.rs
@@ -118,7 +118,8 @@
     MemberUp(Identity),
     /// A member is down.
     MemberDown(Identity),
-    /// Others had declared this process down, and it has rejoined under a later generation.
+    /// Others had declared this process down, or knew a later generation of it, and it has rejoined under the given
+    /// generation.
     Rejoined(u64),
     /// This process received no answer for a while. The members that it declared down during that time, of the given
     /// number, count as alive again.
@@ -135,7 +136,7 @@
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams received and passed to the protocol.
+    /// Datagrams received whose envelope and sender were accepted.
     pub received: u64,
     /// Dropped: too long.
     pub too_long: u64,
@@ -153,7 +154,7 @@
     pub own_address: u64,
     /// Suspicions raised by this process.
     pub suspected: u64,
-    /// Wakes so late that the deadlines of other members had to be extended.
+    /// Wakes that came too late. The time lost does not count against other members.
     pub late_wakes: u64,
 }
 
@@ -262,7 +263,7 @@
     removal_timers: BTreeMap<SocketAddr, (Micros, u64)>,
     lost_time: Micros,
     started: Micros,
-    /// Every member that was reported up or down, until the protocol forgets it.
+    /// Every member that was reported up or down, until the protocol removed it.
     known: BTreeMap<SocketAddr, KnownMember>,
     facts_table: FactsTable,
     facts: Facts,
@@ -359,7 +360,7 @@
 
     /// All members, live and recently down, sorted by name.
     pub fn members(&self, now: Micros) -> Vec<MemberInfo> {
-        let mut seen: Vec<MemberInfo> = Vec::with_capacity(self.known.len() + 1);
+        let mut members: Vec<MemberInfo> = Vec::with_capacity(self.known.len() + 1);
         let facts = |identity: &Identity| self.facts_table.get(now, identity);
         let leaving = |f: &Option<(Facts, Micros)>| f.as_ref().is_some_and(|f| f.0.leaving);
         let own = facts(self.own());
@@ -369,7 +370,7 @@
             (false, _) => Phase::Joining,
         };
         let identity = self.own().clone();
-        seen.push(MemberInfo { identity, phase, since: self.started, displaced: false, facts: own });
+        members.push(MemberInfo { identity, phase, since: self.started, displaced: false, facts: own });
         for member in self.swim.iter_membership_state() {
             let facts = facts(member.id());
             let phase = match member.state() {
@@ -380,21 +381,21 @@
                 State::Alive => Phase::Alive,
             };
             let since = self.known.get(&member.id().address).map_or(now, |k| k.since);
-            seen.push(MemberInfo { identity: member.id().clone(), phase, since, displaced: false, facts });
+            members.push(MemberInfo { identity: member.id().clone(), phase, since, displaced: false, facts });
         }
-        seen.sort_by(|a, b| {
+        members.sort_by(|a, b| {
             let key = |s: &MemberInfo| {
                 (s.identity.name.clone(), !s.is_live(), std::cmp::Reverse(name_precedence(&s.identity)))
             };
             key(a).cmp(&key(b))
         });
         // Among members with the same name, the one that owns it sorts first.
-        for at in 1..seen.len() {
-            let (before, this) = seen.split_at_mut(at);
+        for at in 1..members.len() {
+            let (before, this) = members.split_at_mut(at);
             let same = before.last().is_some_and(|b| b.identity.name == this[0].identity.name && b.is_live());
             this[0].displaced = same && this[0].is_live();
         }
-        seen
+        members
     }
 
     /// Handles one event.
@@ -535,28 +536,28 @@
         }
         match kind {
             Kind::Swim => {
-                let (head, entries) = wire::decode_swim(body)?;
-                if head.src != sender {
+                let (header, entries) = wire::decode_swim(body)?;
+                if header.src != sender {
                     return Err(DropReason::Corrupt);
                 }
-                let announced = head.message == Message::Announce;
-                if announced && !entries.is_empty() {
+                let is_announce = header.message == Message::Announce;
+                if is_announce && !entries.is_empty() {
                     return Err(DropReason::Corrupt);
                 }
                 // The library sends this message to members that it considers down. A receiver would rejoin under a
                 // new generation, so the message is ignored if the sender is isolated.
-                if isolated && head.message == Message::TurnUndead {
+                if isolated && header.message == Message::TurnUndead {
                     return Ok(());
                 }
-                let answers =
-                    matches!(head.message, Message::Ack(_) | Message::ForwardedAck { .. } | Message::Feed);
-                if answers && head.dst.address == self.own().address {
+                let is_answer =
+                    matches!(header.message, Message::Ack(_) | Message::ForwardedAck { .. } | Message::Feed);
+                if is_answer && header.dst.address == self.own().address {
                     self.last_answer = effective;
                 }
-                let all = entries.len();
+                let total = entries.len();
                 let entries = self.screen_entries(entries, &sender, isolated);
                 let screened =
-                    if entries.len() < all { Some(wire::encode_swim(&head, &entries)) } else { None };
+                    if entries.len() < total { Some(wire::encode_swim(&header, &entries)) } else { None };
                 let _ = self.swim.handle_data(screened.as_deref().unwrap_or(body), &mut self.runtime);
             }
             Kind::Facts if active => {
@@ -581,8 +582,8 @@
             Kind::SuspectQuery if active => {
                 let [generation, refutations] = wire::read_numbers(body)?;
                 if generation == self.own().generation && !self.leaving {
-                    let doubted = Member::new(self.own().clone(), refutations as u16, State::Suspect);
-                    let _ = self.swim.apply_many([doubted].into_iter(), true, &mut self.runtime);
+                    let suspect = Member::new(self.own().clone(), refutations as u16, State::Suspect);
+                    let _ = self.swim.apply_many([suspect].into_iter(), true, &mut self.runtime);
                     // Every message of this process carries the refutation, so this one delivers it to the sender at
                     // once.
                     let _ = self.swim.announce(sender, &mut self.runtime);
@@ -603,10 +604,10 @@
         Ok(())
     }
 
-    /// Makes room for one address beyond the `coming` ones. Evicts the member that has been down longest, never a
+    /// Makes room for one address beyond the `incoming` ones. Evicts the member that has been down longest, never a
     /// live one.
-    fn make_room(&mut self, coming: usize) -> Result<(), DropReason> {
-        if self.swim.iter_membership_state().len() + coming < MAX_MEMBERS {
+    fn make_room(&mut self, incoming: usize) -> Result<(), DropReason> {
+        if self.swim.iter_membership_state().len() + incoming < MAX_MEMBERS {
             return Ok(());
         }
         let since = |m: &Member<Identity>| self.known.get(&m.id().address).map_or(Micros(0), |k| k.since);
@@ -630,8 +631,8 @@
     ) -> Vec<Member<Identity>> {
         let full = self.swim.iter_membership_state().len() + entries.len() > MAX_MEMBERS;
         // The library bounds neither its member table nor its backlog of updates.
-        let mut waiting = self.swim.updates_backlog();
-        let mut coming = 0;
+        let mut backlog = self.swim.updates_backlog();
+        let mut incoming = 0;
         let mut accepted = Vec::with_capacity(entries.len());
         for entry in entries {
             let (id, own) = (entry.id(), entry.id().address == self.own().address);
@@ -642,18 +643,18 @@
             if isolated && entry.state() != State::Alive && id != sender {
                 continue;
             }
-            waiting += 1;
-            if waiting > MAX_MEMBERS && !own && !self.known.contains_key(&id.address) {
+            backlog += 1;
+            if backlog > MAX_MEMBERS && !own && !self.known.contains_key(&id.address) {
                 self.counters.count(DropReason::TableFull);
                 continue;
             }
             if full && !own && !self.known.contains_key(&id.address) && self.find_entry(id.address).is_none()
             {
-                if let Err(reason) = self.make_room(coming) {
+                if let Err(reason) = self.make_room(incoming) {
                     self.counters.count(reason);
                     continue;
                 }
-                coming += 1;
+                incoming += 1;
             }
             accepted.push(entry);
         }
@@ -663,8 +664,8 @@
     /// Merges a record of facts if its member is known to be live.
     fn merge_facts(&mut self, now: Micros, record: Record) {
         let known = self.known.get(&record.address);
-        let lives = known.is_some_and(|k| k.live && k.identity.generation <= record.generation);
-        if record.address != self.own().address && lives {
+        let is_current = known.is_some_and(|k| k.live && k.identity.generation <= record.generation);
+        if record.address != self.own().address && is_current {
             self.facts_table.merge(now, record);
         }
     }
@@ -672,20 +673,20 @@
     /// Retracts what was declared during isolation: the members concerned count as alive again. They must not have to
     /// rejoin under a new generation because of this process's mistake.
     fn retract_verdicts(&mut self, effective: Micros, out: &mut Vec<Output>) {
-        let isolated_verdicts = std::mem::take(&mut self.isolated_verdicts);
-        out.push(Output::Notify(Notification::VerdictsRetracted(isolated_verdicts.len())));
+        let verdicts = std::mem::take(&mut self.isolated_verdicts);
+        out.push(Output::Notify(Notification::VerdictsRetracted(verdicts.len())));
         let table: Vec<Member<Identity>> = self.swim.iter_membership_state().cloned().collect();
         self.config.own = self.own().clone();
         // The library cannot revive a member that is down, so a new instance replaces it.
         self.swim = new_swim(&self.config, &self.timing, &mut self.rng, self.transmissions);
         self.timers.retain(|_, due| !matches!(due, TimerKind::Swim(_) | TimerKind::QuerySuspect(..)));
         self.removal_timers.clear();
-        let back =
-            table.into_iter().map(|m| match isolated_verdicts.contains(m.id()) || m.state() != State::Down {
+        let restored =
+            table.into_iter().map(|m| match verdicts.contains(m.id()) || m.state() != State::Down {
                 true => Member::new(m.id().clone(), m.incarnation(), State::Alive),
                 false => m,
             });
-        let _ = self.swim.apply_many(back, false, &mut self.runtime);
+        let _ = self.swim.apply_many(restored, false, &mut self.runtime);
         self.schedule(effective, Micros(0), TimerKind::Join);
     }
 
@@ -740,9 +741,9 @@
             self.send(effective, to, Kind::Entries, &body, out);
         }
         // The views differ, so the next comparison comes sooner.
-        let soon = self.random_phase(self.timing.gossip_period);
+        let delay = self.random_phase(self.timing.gossip_period);
         self.timers.retain(|_, due| !matches!(due, TimerKind::Sync));
-        self.schedule(effective, self.timing.gossip_period + soon, TimerKind::Sync);
+        self.schedule(effective, self.timing.gossip_period + delay, TimerKind::Sync);
     }
 
     // ---- timers ----
@@ -793,7 +794,7 @@
         }
         let own = self.own().address;
         let live: BTreeSet<SocketAddr> = self.live().map(|i| i.address).collect();
-        let mut ask: Vec<Identity> = self
+        let mut targets: Vec<Identity> = self
             .config
             .seeds
             .iter()
@@ -802,12 +803,12 @@
             .collect();
         if alone {
             let gone = self.swim.iter_membership_state().filter(|m| m.state() == State::Down);
-            ask.extend(gone.map(|m| m.id().clone()));
+            targets.extend(gone.map(|m| m.id().clone()));
         }
-        ask.retain(|i| i.address != own);
-        let most = if alone { MAX_SEEDS_PER_JOIN } else { 1 };
-        ask.shuffle(&mut self.rng);
-        for identity in ask.into_iter().take(most) {
+        targets.retain(|i| i.address != own);
+        let limit = if alone { MAX_SEEDS_PER_JOIN } else { 1 };
+        targets.shuffle(&mut self.rng);
+        for identity in targets.into_iter().take(limit) {
             let _ = self.swim.announce(identity, &mut self.runtime);
         }
     }
@@ -816,9 +817,9 @@
         let own = self.own().clone();
         self.facts_table.publish(now, &own, &self.facts, Micros(self.config.detection.0 * 2));
         let size = self.swim.num_members() + 1;
-        let most = FACTS_RETRANSMIT_MULTIPLIER * (usize::BITS - size.leading_zeros());
+        let max_sends = FACTS_RETRANSMIT_MULTIPLIER * (usize::BITS - size.leading_zeros());
         let records =
-            self.facts_table.records_to_send(now, MAX_BODY_BYTES, most.div_ceil(FACTS_FANOUT as u32));
+            self.facts_table.records_to_send(now, MAX_BODY_BYTES, max_sends.div_ceil(FACTS_FANOUT as u32));
         if records.is_empty() {
             return;
         }
@@ -840,10 +841,10 @@
         refutations: u16,
         out: &mut Vec<Output>,
     ) {
-        let still = self.find_entry(identity.address).is_some_and(|m| {
+        let still_suspected = self.find_entry(identity.address).is_some_and(|m| {
             m.id() == identity && m.state() == State::Suspect && m.incarnation() == refutations
         });
-        if !still {
+        if !still_suspected {
             return;
         }
         let body: Vec<u8> =
@@ -860,10 +861,10 @@
     fn housekeep(&mut self, out: &mut Vec<Output>) {
         let size = self.swim.num_members() as u32 + 1;
         // The same formula as in HashiCorp memberlist: four times the decimal logarithm of the size.
-        let times = (4.0 * f64::from(size + 1).log10()).ceil().clamp(4.0, 24.0) as u8;
-        if times != self.transmissions {
-            self.transmissions = times;
-            let _ = self.swim.set_config(foca_config(&self.timing, times));
+        let transmissions = (4.0 * f64::from(size + 1).log10()).ceil().clamp(4.0, 24.0) as u8;
+        if transmissions != self.transmissions {
+            self.transmissions = transmissions;
+            let _ = self.swim.set_config(foca_config(&self.timing, transmissions));
         }
         let own = self.own().clone();
         let others = self.swim.iter_members().map(Member::id).filter(|i| i.name == own.name);
@@ -872,8 +873,8 @@
             if self.reported_duplicates.len() < MAX_REPORTED_DUPLICATES
                 && self.reported_duplicates.insert(other.clone())
             {
-                let ours = name_precedence(&own) > name_precedence(&other);
-                out.push(Output::Notify(Notification::DuplicateName(other, ours)));
+                let owns_name = name_precedence(&own) > name_precedence(&other);
+                out.push(Output::Notify(Notification::DuplicateName(other, owns_name)));
             }
         }
         let table: BTreeSet<SocketAddr> =
@@ -893,21 +894,21 @@
             let after = Micros(after.as_micros() as u64);
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
                 self.counters.suspected += 1;
-                let doubt = TimerKind::QuerySuspect(member_id.clone(), *incarnation);
-                self.schedule(effective, Micros(0), doubt);
+                let query = TimerKind::QuerySuspect(member_id.clone(), *incarnation);
+                self.schedule(effective, Micros(0), query);
             }
-            let forgets = match &timer {
+            let removed = match &timer {
                 Timer::RemoveDown(identity) => Some(identity.address),
                 _ => None,
             };
             self.schedule(effective, after, TimerKind::Swim(timer));
             let key = (effective + after, self.timer_seq);
-            if let Some(before) = forgets.and_then(|address| self.removal_timers.insert(address, key)) {
+            if let Some(before) = removed.and_then(|address| self.removal_timers.insert(address, key)) {
                 self.timers.remove(&before);
             }
         }
-        while let Some(note) = self.runtime.to_notify() {
-            match note {
+        while let Some(notification) = self.runtime.to_notify() {
+            match notification {
                 OwnedNotification::MemberUp(identity) => self.set_liveness(now, identity, true, out),
                 OwnedNotification::MemberDown(identity) => {
                     if self.is_isolated(effective) && self.isolated_verdicts.len() < MAX_MEMBERS {
@@ -958,8 +959,8 @@
         let ip = from.ip();
         // This is the only reply that goes to the source address of a datagram, which can be forged, so only local
         // addresses get one.
-        let here = ip.is_loopback() || ip == self.own().address.ip();
-        if !here {
+        let is_local = ip.is_loopback() || ip == self.own().address.ip();
+        if !is_local {
             return Err(DropReason::OutsidePrefixes);
         }
         let [nonce, page] = wire::read_numbers(body)?;
@@ -1004,23 +1005,23 @@
 }
 
 fn foca_config(timing: &Timing, transmissions: u8) -> foca::Config {
-    let span = |m: Micros| Duration::from_micros(m.0);
-    let some = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    let each = |frequency: Micros, members: usize| {
-        Some(foca::PeriodicParams { frequency: span(frequency), num_members: some(members) })
+    let duration = |m: Micros| Duration::from_micros(m.0);
+    let non_zero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
+    let periodic = |frequency: Micros, members: usize| {
+        Some(foca::PeriodicParams { frequency: duration(frequency), num_members: non_zero(members) })
     };
     foca::Config {
-        probe_period: span(timing.probe_period),
-        probe_rtt: span(timing.probe_timeout),
-        num_indirect_probes: some(3),
+        probe_period: duration(timing.probe_period),
+        probe_rtt: duration(timing.probe_timeout),
+        num_indirect_probes: non_zero(3),
         max_transmissions: NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: span(timing.suspicion_timeout),
+        suspect_to_down_after: duration(timing.suspicion_timeout),
         remove_down_after: Some(DOWN_MEMBER_TTL),
-        max_packet_size: some(MAX_BODY_BYTES),
+        max_packet_size: non_zero(MAX_BODY_BYTES),
         notify_down_members: true,
         periodic_announce: None,
-        periodic_announce_to_down_members: each(timing.sync_period, 1),
-        periodic_gossip: each(timing.gossip_period, 3),
+        periodic_announce_to_down_members: periodic(timing.sync_period, 1),
+        periodic_gossip: periodic(timing.gossip_period, 3),
     }
 }
 
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -42,7 +42,7 @@
     /// Per-bucket hash sums of the sender's view. The receiver answers with [`Kind::Entries`] for the buckets that
     /// differ and with its own sums.
     Sync = 3,
-    /// The receiver's sums in reply to [`Kind::Sync`], answered with entries only.
+    /// Hash sums in reply to [`Kind::Sync`], answered with entries only.
     SyncReply = 4,
     /// Membership entries.
     Entries = 5,
@@ -189,10 +189,10 @@
         return Err(DropReason::UnsupportedVersion);
     }
     let mut rest = &bytes[HEADER_BYTES..];
-    let of = read_label.parse_next(&mut rest).map_err(|_| DropReason::Corrupt)?;
+    let fleet_name = read_label.parse_next(&mut rest).map_err(|_| DropReason::Corrupt)?;
     let kind = Kind::from_code(bytes[4]).ok_or(DropReason::UnsupportedVersion)?;
     // An operator's tool does not need to know the name of the fleet.
-    if &*of != fleet && !matches!(kind, Kind::StatusRequest | Kind::StatusPage) {
+    if &*fleet_name != fleet && !matches!(kind, Kind::StatusRequest | Kind::StatusPage) {
         return Err(DropReason::Foreign);
     }
     let sender = read_identity.parse_next(&mut rest).map_err(|_| DropReason::Corrupt)?;
@@ -245,11 +245,11 @@
     Ok(SocketAddr::new(ip, be_u16.parse_next(input)?))
 }
 
-fn put_identity(bytes: &mut impl BufMut, of: &Identity) {
-    put_label(bytes, &of.name);
-    put_label(bytes, &of.zone);
-    put_address(bytes, of.address);
-    bytes.put_u64(of.generation);
+fn put_identity(bytes: &mut impl BufMut, identity: &Identity) {
+    put_label(bytes, &identity.name);
+    put_label(bytes, &identity.zone);
+    put_address(bytes, identity.address);
+    bytes.put_u64(identity.generation);
 }
 
 fn read_identity(input: &mut &[u8]) -> ModalResult<Identity> {
@@ -260,10 +260,10 @@
 }
 
 /// Writes a membership entry: identity, incarnation, state.
-pub fn put_member(bytes: &mut impl BufMut, of: &Member<Identity>) {
-    put_identity(bytes, of.id());
-    bytes.put_u16(of.incarnation());
-    bytes.put_u8(match of.state() {
+pub fn put_member(bytes: &mut impl BufMut, entry: &Member<Identity>) {
+    put_identity(bytes, entry.id());
+    bytes.put_u16(entry.incarnation());
+    bytes.put_u8(match entry.state() {
         State::Alive => 1,
         State::Suspect => 2,
         State::Down => 3,
@@ -283,23 +283,23 @@
 }
 
 /// Encoded length of a membership entry.
-pub fn member_len(of: &Member<Identity>) -> usize {
+pub fn member_len(entry: &Member<Identity>) -> usize {
     let mut bytes = Vec::with_capacity(64);
-    put_member(&mut bytes, of);
+    put_member(&mut bytes, entry);
     bytes.len()
 }
 
 /// Writes the header of a SWIM message. It repeats the sender of the envelope, so that a body can be decoded alone.
-fn put_header(bytes: &mut impl BufMut, of: &Header<Identity>) {
-    put_identity(bytes, &of.src);
-    bytes.put_u16(of.src_incarnation);
-    put_identity(bytes, &of.dst);
-    let mut indirect = |code: u8, who: &Identity, number: u8| {
+fn put_header(bytes: &mut impl BufMut, header: &Header<Identity>) {
+    put_identity(bytes, &header.src);
+    bytes.put_u16(header.src_incarnation);
+    put_identity(bytes, &header.dst);
+    let mut indirect = |code: u8, identity: &Identity, number: u8| {
         bytes.put_u8(code);
-        put_identity(bytes, who);
+        put_identity(bytes, identity);
         bytes.put_u8(number);
     };
-    match &of.message {
+    match &header.message {
         Message::PingReq { target, probe_number } => indirect(3, target, *probe_number),
         Message::IndirectPing { origin, probe_number } => indirect(4, origin, *probe_number),
         Message::IndirectAck { target, probe_number } => indirect(5, target, *probe_number),
@@ -321,12 +321,12 @@
         1 => u8.map(Message::Ping).parse_next(input)?,
         2 => u8.map(Message::Ack).parse_next(input)?,
         code @ 3..=6 => {
-            let (who, probe_number) = (read_identity, u8).parse_next(input)?;
+            let (identity, probe_number) = (read_identity, u8).parse_next(input)?;
             match code {
-                3 => Message::PingReq { target: who, probe_number },
-                4 => Message::IndirectPing { origin: who, probe_number },
-                5 => Message::IndirectAck { target: who, probe_number },
-                _ => Message::ForwardedAck { origin: who, probe_number },
+                3 => Message::PingReq { target: identity, probe_number },
+                4 => Message::IndirectPing { origin: identity, probe_number },
+                5 => Message::IndirectAck { target: identity, probe_number },
+                _ => Message::ForwardedAck { origin: identity, probe_number },
             }
         }
         7 => Message::Announce,
@@ -340,9 +340,9 @@
 }
 
 /// Encodes a SWIM message with its membership entries.
-pub fn encode_swim(head: &Header<Identity>, entries: &[Member<Identity>]) -> Vec<u8> {
+pub fn encode_swim(header: &Header<Identity>, entries: &[Member<Identity>]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
-    put_header(&mut bytes, head);
+    put_header(&mut bytes, header);
     if !entries.is_empty() {
         bytes.put_u16(entries.len() as u16);
         entries.iter().for_each(|e| put_member(&mut bytes, e));
@@ -352,23 +352,23 @@
 
 /// Decodes a complete SWIM message. Bytes after the entries are an error.
 pub fn decode_swim(mut input: &[u8]) -> Result<(Header<Identity>, Vec<Member<Identity>>), DropReason> {
-    let head = read_header.parse_next(&mut input).map_err(|_| DropReason::Corrupt)?;
+    let header = read_header.parse_next(&mut input).map_err(|_| DropReason::Corrupt)?;
     let entries = if input.is_empty() { Vec::new() } else { read_entries(&mut input)? };
-    Some((head, entries)).filter(|_| input.is_empty()).ok_or(DropReason::Corrupt)
+    Some((header, entries)).filter(|_| input.is_empty()).ok_or(DropReason::Corrupt)
 }
 
 /// Encodes as many entries as fit into `room` bytes. Returns the body and the number of entries in it.
-pub fn encode_entries(of: &[Member<Identity>], room: usize) -> (Vec<u8>, usize) {
-    let (mut bytes, mut taken) = (vec![0, 0], 0);
-    for entry in of {
+pub fn encode_entries(entries: &[Member<Identity>], room: usize) -> (Vec<u8>, usize) {
+    let (mut bytes, mut count) = (vec![0, 0], 0);
+    for entry in entries {
         if bytes.len() + member_len(entry) > room {
             break;
         }
         put_member(&mut bytes, entry);
-        taken += 1;
+        count += 1;
     }
-    bytes[..2].copy_from_slice(&(taken as u16).to_be_bytes());
-    (bytes, taken)
+    bytes[..2].copy_from_slice(&(count as u16).to_be_bytes());
+    (bytes, count)
 }
 
 /// Reads entries. Memory is allocated only for entries that are present, whatever the count field says.
@@ -397,19 +397,19 @@
 }
 
 /// Writes a record.
-pub fn put_record(bytes: &mut impl BufMut, of: &Record) {
-    put_address(bytes, of.address);
-    bytes.put_u64(of.generation);
-    bytes.put_u32(of.version);
-    bytes.put_u32(of.age_ms);
-    bytes.put_u8(of.facts.len() as u8);
-    bytes.put_slice(&of.facts);
+pub fn put_record(bytes: &mut impl BufMut, record: &Record) {
+    put_address(bytes, record.address);
+    bytes.put_u64(record.generation);
+    bytes.put_u32(record.version);
+    bytes.put_u32(record.age_ms);
+    bytes.put_u8(record.facts.len() as u8);
+    bytes.put_slice(&record.facts);
 }
 
 /// Encoded length of a record.
-pub fn record_len(of: &Record) -> usize {
-    let address = if of.address.is_ipv4() { 7 } else { 19 };
-    address + 17 + of.facts.len()
+pub fn record_len(record: &Record) -> usize {
+    let address_len = if record.address.is_ipv4() { 7 } else { 19 };
+    address_len + 17 + record.facts.len()
 }
 
 /// Reads records until the end of the input.
@@ -444,7 +444,7 @@
 
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("does not fit or cannot be read")
+        f.write_str("membership entry does not fit or cannot be decoded")
     }
 }
 
@@ -458,21 +458,21 @@
     Ok(())
 }
 
-fn decode_with<T>(mut from: impl Buf, read: impl Fn(&mut &[u8]) -> ModalResult<T>) -> Result<T, CodecError> {
-    let mut rest = from.chunk();
+fn decode_with<T>(mut input: impl Buf, read: impl Fn(&mut &[u8]) -> ModalResult<T>) -> Result<T, CodecError> {
+    let mut rest = input.chunk();
     let whole = rest.len();
     let value = read(&mut rest).map_err(|_| CodecError)?;
-    let taken = whole - rest.len();
-    from.advance(taken);
+    let consumed = whole - rest.len();
+    input.advance(consumed);
     Ok(value)
 }
 
 impl Codec<Identity> for WireCodec {
     type Error = CodecError;
 
-    fn encode_header(&mut self, of: &Header<Identity>, to: impl BufMut) -> Result<(), CodecError> {
+    fn encode_header(&mut self, header: &Header<Identity>, to: impl BufMut) -> Result<(), CodecError> {
         let mut bytes = Vec::with_capacity(256);
-        put_header(&mut bytes, of);
+        put_header(&mut bytes, header);
         write_all(to, &bytes)
     }
 
@@ -480,9 +480,9 @@
         decode_with(from, read_header)
     }
 
-    fn encode_member(&mut self, of: &Member<Identity>, to: impl BufMut) -> Result<(), CodecError> {
+    fn encode_member(&mut self, entry: &Member<Identity>, to: impl BufMut) -> Result<(), CodecError> {
         let mut bytes = Vec::with_capacity(64);
-        put_member(&mut bytes, of);
+        put_member(&mut bytes, entry);
         write_all(to, &bytes)
     }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -144,7 +144,7 @@
     std::thread::sleep(Duration::from_millis(2 * DETECTION_MS));
     fleet.act("resume 2");
     fleet.agree();
-    assert!(fleet.logged(2, "this process was held to be gone, and is back") >= 1);
+    assert!(fleet.logged(2, "fleet: rejoined under a later generation") >= 1);
     assert_eq!(fleet.logged(2, "fleet: gone"), 0, "its own silence was nobody's death");
     fleet.call(2);
 }
@@ -170,10 +170,12 @@
     (0..4).for_each(|n| fleet.processes.start(n).expect("it starts"));
     fleet.agree();
     until("the displaced one says so", || {
-        (fleet.logged(2, "started later: it is not counted on") == 1).then_some(())
+        (fleet.logged(2, "fleet: another process with the same name started later and owns it") == 1)
+            .then_some(())
     });
     until("the holder says so", || {
-        (fleet.logged(3, "this one started later and holds it") == 1).then_some(())
+        (fleet.logged(3, "fleet: another process has the same name; this one started later and owns it") == 1)
+            .then_some(())
     });
     let shown = fleet.shown(0).expect("a view");
     let displaced: Vec<&str> =
