--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Started programs that talk to one another through a proxy with faults, while calls go through them.
+//! End-to-end tests of the fleet: processes that communicate through a proxy with faults while they carry calls.
 
 #[path = "common/peers.rs"]
 mod peers;
@@ -13,7 +13,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Quick enough for tests; nothing here is judged by a time.
+/// Short, to keep the tests fast. No assertion depends on it.
 const DETECTION_MS: u64 = 1_500;
 
 struct Fleet {
@@ -35,11 +35,11 @@
         Fleet { processes: processes.expect("a proxy"), hub, calls: 0x1000 }
     }
 
-    /// All started, and agreed.
-    fn joined(size: usize, seed: u64) -> Fleet {
+    /// Starts all members and waits until their views agree.
+    fn start_all(size: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(size, seed);
         (0..size).for_each(|n| fleet.processes.start(n).expect("it starts"));
-        fleet.agree();
+        fleet.wait_until_agreed();
         fleet
     }
 
@@ -48,33 +48,33 @@
         self.processes.act(&text.parse().expect("an act")).expect("done");
     }
 
-    fn shown(&self, n: usize) -> Option<FleetStatus> {
+    fn status(&self, n: usize) -> Option<FleetStatus> {
         json::from_str(&self.processes.show(n, true)?).ok()
     }
 
     fn member(&self, by: usize, name: &str) -> Option<MemberStatus> {
-        self.shown(by)?.members.into_iter().find(|m| m.name == name)
+        self.status(by)?.members.into_iter().find(|m| m.name == name)
     }
 
-    /// Waits until all that run see the same, which is who runs.
-    fn agree(&self) {
+    /// Waits until the views of all running processes are equal and contain exactly these processes.
+    fn wait_until_agreed(&self) {
         let running = self.processes.running();
-        until("all agree on who is there", || {
-            let views: Vec<FleetStatus> = running.iter().filter_map(|n| self.shown(*n)).collect();
+        until("all views agree", || {
+            let views: Vec<FleetStatus> = running.iter().filter_map(|n| self.status(*n)).collect();
             let equal = views.iter().all(|v| v.hash == views[0].hash && v.live == running.len());
             (equal && views.len() == running.len()).then_some(())
         });
     }
 
-    fn sees_gone(&self, by: usize, name: &str) {
+    fn wait_until_gone(&self, by: usize, name: &str) {
         until(&format!("n{by} sees {name} gone"), || {
             let phase = self.member(by, name).map(|m| m.phase);
             (phase.as_deref() == Some("gone")).then_some(())
         });
     }
 
-    /// A call through a member is answered by the hub.
-    fn call(&mut self, n: usize) {
+    /// Makes a call through a member and checks that the hub answers it.
+    fn make_call(&mut self, n: usize) {
         self.calls += 1;
         let call = self.calls;
         let mut caller = until("a caller gets in", || Caller::try_connect(self.processes.listens(n)));
@@ -84,79 +84,79 @@
         assert_eq!(self.hub.seen(call).iter().filter(|s| **s == Seen::SetUp).count(), 1);
     }
 
-    /// How often a member logged that.
-    fn logged(&self, n: usize, what: &str) -> usize {
-        self.processes.log(n).matches(what).count()
+    /// How often a text occurs in the log of a member.
+    fn logged(&self, n: usize, text: &str) -> usize {
+        self.processes.log(n).matches(text).count()
     }
 }
 
 #[test]
-fn members_find_one_another_with_the_seeds_down_and_a_killed_one_comes_back() {
+fn members_join_once_the_seeds_start_and_a_killed_member_rejoins() {
     let mut fleet = Fleet::new(5, 1);
     // n0 and n1 are the seeds.
     (2..5).for_each(|n| fleet.processes.start(n).expect("it starts"));
-    fleet.call(3);
-    assert!(fleet.shown(2).is_some_and(|s| s.live == 1 && s.members[0].phase == "joining"));
+    fleet.make_call(3);
+    assert!(fleet.status(2).is_some_and(|s| s.live == 1 && s.members[0].phase == "joining"));
     (0..2).for_each(|n| fleet.processes.start(n).expect("it starts"));
-    fleet.agree();
+    fleet.wait_until_agreed();
     fleet.act("kill 4");
-    (0..4).for_each(|n| fleet.sees_gone(n, "n4"));
-    fleet.call(2);
+    (0..4).for_each(|n| fleet.wait_until_gone(n, "n4"));
+    fleet.make_call(2);
     fleet.act("start 4");
-    fleet.agree();
-    fleet.call(4);
+    fleet.wait_until_agreed();
+    fleet.make_call(4);
     let table = fleet.processes.show(0, false).expect("a table");
     assert!(table.contains("fleet lab, seen by n0@") && table.contains("5 live"), "{table}");
-    until("n4's facts have come", || {
+    until("n4's facts have arrived", || {
         let m = fleet.member(0, "n4")?;
         (m.program.as_deref() == Some(env!("CARGO_PKG_VERSION")) && m.seq == Some(1)).then_some(())
     });
 }
 
 #[test]
-fn halves_that_held_one_another_to_be_gone_agree_again_while_calls_go_on() {
-    let mut fleet = Fleet::joined(6, 2);
+fn two_sides_of_a_split_merge_again_while_calls_go_on() {
+    let mut fleet = Fleet::start_all(6, 2);
     fleet.act("split 0-2");
-    (3..6).for_each(|n| fleet.sees_gone(n, "n1"));
-    (0..3).for_each(|n| fleet.sees_gone(n, "n4"));
-    (0..6).for_each(|n| fleet.call(n));
+    (3..6).for_each(|n| fleet.wait_until_gone(n, "n1"));
+    (0..3).for_each(|n| fleet.wait_until_gone(n, "n4"));
+    (0..6).for_each(|n| fleet.make_call(n));
     fleet.act("heal");
-    fleet.agree();
+    fleet.wait_until_agreed();
 }
 
 #[test]
-fn a_seed_that_returns_with_an_empty_view_during_a_split_joins_both_sides() {
-    let mut fleet = Fleet::joined(5, 3);
+fn a_seed_restarted_with_an_empty_view_during_a_split_joins_both_sides() {
+    let mut fleet = Fleet::start_all(5, 3);
     fleet.act("kill 0");
     fleet.act("split 1-2");
-    fleet.sees_gone(3, "n1");
+    fleet.wait_until_gone(3, "n1");
     fleet.act("start 0");
     fleet.act("heal");
-    fleet.agree();
-    fleet.call(0);
+    fleet.wait_until_agreed();
+    fleet.make_call(0);
 }
 
 #[test]
-fn one_that_was_stopped_is_gone_and_comes_back_and_calls_nobody_dead() {
-    let mut fleet = Fleet::joined(4, 4);
+fn a_suspended_process_rejoins_and_declares_nobody_down() {
+    let mut fleet = Fleet::start_all(4, 4);
     fleet.act("pause 2");
-    [0, 1, 3].iter().for_each(|n| fleet.sees_gone(*n, "n2"));
+    [0, 1, 3].iter().for_each(|n| fleet.wait_until_gone(*n, "n2"));
     std::thread::sleep(Duration::from_millis(2 * DETECTION_MS));
     fleet.act("resume 2");
-    fleet.agree();
+    fleet.wait_until_agreed();
     assert!(fleet.logged(2, "fleet: rejoined under a later generation") >= 1);
-    assert_eq!(fleet.logged(2, "fleet: gone"), 0, "its own silence was nobody's death");
-    fleet.call(2);
+    assert_eq!(fleet.logged(2, "fleet: gone"), 0, "it declared nobody down for its own silence");
+    fleet.make_call(2);
 }
 
 #[test]
-fn one_that_is_cut_off_one_way_gets_nobody_believed_dead() {
-    let mut fleet = Fleet::joined(4, 5);
+fn a_one_way_partition_gets_no_other_member_declared_down() {
+    let mut fleet = Fleet::start_all(4, 5);
     fleet.act("cut 0-2 3");
-    fleet.sees_gone(0, "n3");
-    fleet.call(3);
+    fleet.wait_until_gone(0, "n3");
+    fleet.make_call(3);
     fleet.act("heal");
-    fleet.agree();
+    fleet.wait_until_agreed();
     for (by, about) in [(0, 1), (1, 2), (2, 0)] {
         let address = fleet.processes.proxy.address(about);
         assert_eq!(fleet.logged(by, &format!("fleet: gone member=n{about}@{address}")), 0);
@@ -164,72 +164,72 @@
 }
 
 #[test]
-fn of_two_under_one_name_the_later_start_holds_it_and_calls_are_undisturbed() {
+fn of_two_members_with_one_name_the_later_start_owns_it_and_calls_go_on() {
     let mut fleet = Fleet::new(4, 6);
     fleet.processes.names[3] = "n2".into();
     (0..4).for_each(|n| fleet.processes.start(n).expect("it starts"));
-    fleet.agree();
-    until("the displaced one says so", || {
+    fleet.wait_until_agreed();
+    until("the displaced process logs the duplicate name", || {
         (fleet.logged(2, "fleet: another process with the same name started later and owns it") == 1)
             .then_some(())
     });
-    until("the holder says so", || {
+    until("the owner of the name logs the duplicate name", || {
         (fleet.logged(3, "fleet: another process has the same name; this one started later and owns it") == 1)
             .then_some(())
     });
-    let shown = fleet.shown(0).expect("a view");
+    let status = fleet.status(0).expect("a view");
     let displaced: Vec<&str> =
-        shown.members.iter().filter(|m| m.displaced).map(|m| m.address.as_str()).collect();
+        status.members.iter().filter(|m| m.displaced).map(|m| m.address.as_str()).collect();
     assert_eq!(displaced, [fleet.processes.proxy.address(2).to_string()]);
-    fleet.call(2);
-    fleet.call(3);
+    fleet.make_call(2);
+    fleet.make_call(3);
 }
 
 #[test]
-fn a_planned_end_is_told_and_the_program_ends_well() {
-    let mut fleet = Fleet::joined(4, 7);
+fn a_planned_shutdown_is_announced_and_exits_with_success() {
+    let mut fleet = Fleet::start_all(4, 7);
     fleet.act("leave 1");
     let phase = |f: &Fleet| f.member(0, "n1").map(|m| m.phase);
     until("n1 is seen to leave", || {
         matches!(phase(&fleet).as_deref(), Some("leaving" | "gone")).then_some(())
     });
-    assert!(fleet.processes.ended(1), "exit code nought");
-    [0, 2, 3].iter().for_each(|n| fleet.sees_gone(*n, "n1"));
-    fleet.agree();
+    assert!(fleet.processes.ended(1), "exit code 0");
+    [0, 2, 3].iter().for_each(|n| fleet.wait_until_gone(*n, "n1"));
+    fleet.wait_until_agreed();
 }
 
 #[test]
-fn garbage_and_old_datagrams_change_nothing_and_are_counted() {
-    let mut fleet = Fleet::joined(4, 8);
+fn garbage_and_replayed_datagrams_change_nothing_and_are_counted() {
+    let mut fleet = Fleet::start_all(4, 8);
     fleet.act("kill 3");
-    fleet.sees_gone(0, "n3");
+    fleet.wait_until_gone(0, "n3");
     fleet.act("start 3");
-    fleet.agree();
+    fleet.wait_until_agreed();
     let generation = |f: &Fleet, name: &str| f.member(0, name).map(|m| m.generation);
     let before = ["n1", "n2", "n3"].map(|n| generation(&fleet, n));
     for (to, bytes) in fleet.processes.proxy.recorded() {
         fleet.processes.proxy.inject(to, bytes.clone());
-        let mut torn = bytes;
-        torn.truncate(torn.len() / 2);
-        fleet.processes.proxy.inject(0, torn);
+        let mut truncated = bytes;
+        truncated.truncate(truncated.len() / 2);
+        fleet.processes.proxy.inject(0, truncated);
     }
     fleet.processes.proxy.inject(0, vec![7; 1_500]);
-    until("what was torn is counted", || {
-        let dropped = fleet.shown(0)?.dropped;
+    until("the truncated datagrams are counted", || {
+        let dropped = fleet.status(0)?.dropped;
         let count = |why: &str| dropped.iter().any(|c| c.why == why);
         (count("torn") && count("too long")).then_some(())
     });
-    fleet.agree();
-    assert_eq!(["n1", "n2", "n3"].map(|n| generation(&fleet, n)), before, "nobody had to come back");
-    fleet.call(0);
+    fleet.wait_until_agreed();
+    assert_eq!(["n1", "n2", "n3"].map(|n| generation(&fleet, n)), before, "no member had to rejoin");
+    fleet.make_call(0);
 }
 
 #[test]
-fn without_the_section_nothing_is_bound_and_nothing_sent() {
+fn without_the_fleet_section_no_udp_socket_is_opened_and_nothing_sent() {
     let mut fleet = Fleet::new(2, 9);
     fleet.processes.talk = false;
     (0..2).for_each(|n| fleet.processes.start(n).expect("it starts"));
-    fleet.call(0);
+    fleet.make_call(0);
     assert_eq!(fleet.processes.proxy.sent(), (0, 0));
     let id = fleet.processes.id(0).expect("runs");
     let sockets = std::fs::read_dir(format!("/proc/{id}/fd")).expect("its descriptors");
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_faulty_section_is_named_by_its_key() {
+fn an_invalid_fleet_section_is_reported_by_its_key() {
     let fleet = Fleet::new(1, 10);
     let base = r#""name":"a","listen":"127.0.0.1:0","seeds":[],"prefixes":["127.0.0.0/8"]"#;
     for (section, expected) in [
--- a/tests/fleet_wire.rs
+++ b/tests/fleet_wire.rs
@@ -1,4 +1,4 @@
-//! The fleet's datagrams against cuts, changes and garbage, and what each form gives back.
+//! Tests of the fleet's datagram format: round trips, and robustness against truncated, corrupt and random input.
 
 #[path = "common/garble.rs"]
 mod garble;
@@ -9,7 +9,7 @@
 use petreldock::fleet::wire::{self, DropReason, Identity, Kind, Record, MAX_DATAGRAM_BYTES};
 use quickcheck::{Arbitrary, Gen};
 
-fn who(n: u8) -> Identity {
+fn identity(n: u8) -> Identity {
     let address = match n % 2 {
         0 => ([10, 0, 0, n], 7946).into(),
         _ => "[fd00::7]:7946".parse().expect("an address"),
@@ -22,8 +22,8 @@
     }
 }
 
-fn swims() -> Vec<Vec<u8>> {
-    let (target, origin, probe_number) = (who(3), who(3), 9);
+fn swim_bodies() -> Vec<Vec<u8>> {
+    let (target, origin, probe_number) = (identity(3), identity(3), 9);
     let messages = [
         Message::Ping(1),
         Message::Ack(2),
@@ -35,29 +35,34 @@
         Message::Gossip,
         Message::TurnUndead,
     ];
-    let entries =
-        [Member::alive(who(4)), Member::new(who(5), 7, State::Suspect), Member::new(who(6), 8, State::Down)];
-    let swim = |message| {
-        let head = Header { src: who(1), src_incarnation: 4, dst: who(2), message };
-        let bytes = wire::encode_swim(&head, &entries);
-        assert_eq!(wire::decode_swim(&bytes), Ok((head, entries.to_vec())));
+    let entries = [
+        Member::alive(identity(4)),
+        Member::new(identity(5), 7, State::Suspect),
+        Member::new(identity(6), 8, State::Down),
+    ];
+    let encode = |message| {
+        let header = Header { src: identity(1), src_incarnation: 4, dst: identity(2), message };
+        let bytes = wire::encode_swim(&header, &entries);
+        assert_eq!(wire::decode_swim(&bytes), Ok((header, entries.to_vec())));
         bytes
     };
-    messages.into_iter().map(swim).collect()
+    messages.into_iter().map(encode).collect()
 }
 
 #[test]
-fn datagrams_bear_cuts_and_garbage() {
-    let sealed: Vec<Vec<u8>> =
-        swims().iter().map(|body| wire::encode_datagram("lab", &who(1), Kind::Swim, true, body)).collect();
-    garble::feed(&sealed, false, |input| match wire::decode_datagram("lab", input) {
+fn truncated_or_corrupt_datagrams_are_rejected() {
+    let encoded: Vec<Vec<u8>> = swim_bodies()
+        .iter()
+        .map(|body| wire::encode_datagram("lab", &identity(1), Kind::Swim, true, body))
+        .collect();
+    garble::feed(&encoded, false, |input| match wire::decode_datagram("lab", input) {
         Ok(envelope) => {
-            assert!(envelope.isolated && envelope.sender == who(1) && envelope.kind == Kind::Swim);
+            assert!(envelope.isolated && envelope.sender == identity(1) && envelope.kind == Kind::Swim);
             Ok(Some(input.len()))
         }
         Err(_) => Err(()),
     });
-    for bytes in &sealed {
+    for bytes in &encoded {
         for cut in 0..bytes.len() {
             assert!(wire::decode_datagram("lab", &bytes[..cut]).is_err(), "cut at {cut}");
         }
@@ -65,13 +70,13 @@
 }
 
 #[test]
-fn bodies_bear_cuts_and_garbage_past_the_checksum() {
-    garble::feed(&swims(), false, |input| {
+fn truncated_or_corrupt_bodies_behind_a_valid_checksum_do_not_panic() {
+    garble::feed(&swim_bodies(), false, |input| {
         wire::decode_swim(input).map(|_| Some(input.len())).map_err(|_| ())
     });
     let records: Vec<Record> = (1..4)
         .map(|n| Record {
-            address: who(n).address,
+            address: identity(n).address,
             generation: 5,
             version: 6,
             age_ms: 7,
@@ -96,14 +101,14 @@
 }
 
 #[test]
-fn what_is_foreign_torn_newer_or_too_long_is_told_apart() {
-    let sealed = wire::encode_datagram("lab", &who(1), Kind::Sync, false, &[0; 256]);
-    assert!(wire::decode_datagram("lab", &sealed).is_ok());
-    assert_eq!(wire::decode_datagram("other", &sealed), Err(DropReason::Foreign));
+fn foreign_corrupt_newer_and_too_long_datagrams_are_told_apart() {
+    let encoded = wire::encode_datagram("lab", &identity(1), Kind::Sync, false, &[0; 256]);
+    assert!(wire::decode_datagram("lab", &encoded).is_ok());
+    assert_eq!(wire::decode_datagram("other", &encoded), Err(DropReason::Foreign));
     assert_eq!(wire::decode_datagram("lab", b"PX............"), Err(DropReason::Foreign));
     assert_eq!(wire::decode_datagram("lab", &[0; MAX_DATAGRAM_BYTES + 1]), Err(DropReason::TooLong));
     let changed = |at: usize, by: u8, sum: bool| {
-        let mut bytes = sealed.clone();
+        let mut bytes = encoded.clone();
         bytes[at] = bytes[at].wrapping_add(by);
         if sum {
             let sum = wire::checksum(&bytes);
@@ -111,14 +116,22 @@
         }
         wire::decode_datagram("lab", &bytes).map(|e| e.kind)
     };
-    assert_eq!(changed(2, 5, true), Ok(Kind::Sync), "a later writer that this reader understands");
+    assert_eq!(changed(2, 5, true), Ok(Kind::Sync), "a later version that this reader understands");
     assert_eq!(changed(3, 1, true), Err(DropReason::UnsupportedVersion));
-    assert_eq!(changed(3, 1, false), Err(DropReason::Corrupt), "what is torn is no later version");
-    assert_eq!(changed(4, 100, true), Err(DropReason::UnsupportedVersion), "a kind of later versions");
+    assert_eq!(
+        changed(3, 1, false),
+        Err(DropReason::Corrupt),
+        "a corrupt datagram is not reported as a later version"
+    );
+    assert_eq!(
+        changed(4, 100, true),
+        Err(DropReason::UnsupportedVersion),
+        "an unknown kind belongs to a later version"
+    );
 }
 
 #[test]
-fn facts_are_read_as_they_were_written_and_unknown_ones_kept() {
+fn facts_survive_a_round_trip_and_unknown_ones_are_preserved() {
     for seed in 0..200 {
         let mut gen = Gen::from_size_and_seed(20, seed);
         let mut facts = Facts {
@@ -133,15 +146,15 @@
         let bytes = facts.encode();
         assert!(bytes.len() <= wire::MAX_FACTS_BYTES);
         assert_eq!(Facts::decode(&bytes), facts);
-        // Any other bytes are read as something, without a panic.
+        // Decoding arbitrary bytes must not panic.
         Facts::decode(&Vec::<u8>::arbitrary(&mut gen));
     }
-    let much = Facts { unknown: (0..40).map(|n| (50 + n, vec![0; 30])).collect(), ..Facts::default() };
-    assert!(much.encode().len() <= wire::MAX_FACTS_BYTES, "what does not fit is left out");
+    let oversized = Facts { unknown: (0..40).map(|n| (50 + n, vec![0; 30])).collect(), ..Facts::default() };
+    assert!(oversized.encode().len() <= wire::MAX_FACTS_BYTES, "facts that do not fit are omitted");
 }
 
 #[test]
-fn a_view_in_pages_is_put_together_again() {
+fn a_text_split_into_pages_is_reassembled() {
     let text: Vec<u8> = (0..5_000u32).map(|n| n as u8).collect();
     let (mut whole, mut page, mut pages) = (Vec::new(), 0, 1);
     while page < pages {
@@ -156,7 +169,7 @@
     assert_eq!(
         show::decode_page(&beyond).map(|(_, part)| part.len()),
         Some(0),
-        "a page that is not there is empty"
+        "a page beyond the last is empty"
     );
     assert_eq!(show::decode_page(&[0; 23]), None);
 }
