--- a/src/fleet/lease/mod.rs
+++ b/src/fleet/lease/mod.rs
@@ -107,8 +107,8 @@
 
 impl Terms {
     /// Terms for clocks whose rates are off by up to `rate_permille` thousandths. The lease of a holder with the
-    /// slowest clock must end no later than the grant of a voter with the fastest: `holder / (1 - e) <= voter / (1 +
-    /// e)`.
+    /// slowest clock must end no later than the grant of a voter with the fastest:
+    /// `holder / (1 - e) <= voter / (1 + e)`.
     pub fn new(voter: Micros, rate_permille: u64) -> Terms {
         let voter = Micros(voter.0.min(MAX_TERM.0));
         let holder = voter.0 * 1000u64.saturating_sub(rate_permille) / (1000 + rate_permille);
@@ -137,8 +137,8 @@
         if self.newest_epochs.len() >= MAX_FENCES && !self.newest_epochs.contains_key(&task) {
             // The lower bound rises to the epoch of the evicted task, so that its older effects stay rejected. Epochs
             // grow with the clock, so that tasks in use are above the bound.
-            if let Some((_, gone)) = self.newest_epochs.pop_first() {
-                self.forgotten_epoch = self.forgotten_epoch.max(gone);
+            if let Some((_, evicted)) = self.newest_epochs.pop_first() {
+                self.forgotten_epoch = self.forgotten_epoch.max(evicted);
             }
         }
         self.newest_epochs.insert(task, epoch);
--- a/src/fleet/task.rs
+++ b/src/fleet/task.rs
@@ -60,7 +60,7 @@
         address: advertise,
         generation: clock.now().0 / 1000,
     };
-    let setup = ViewConfig {
+    let config = ViewConfig {
         fleet: fleet.name.clone(),
         own,
         seeds: fleet.seeds.clone(),
@@ -73,7 +73,7 @@
     let (snapshots, latest) = watch::channel(Arc::default());
     let task = FleetTask {
         socket,
-        view: View::new(setup, clock.now()),
+        view: View::new(config, clock.now()),
         clock,
         load,
         last_load: (clock.now(), LoadSummary::default()),
@@ -187,9 +187,9 @@
         let counters = self.view.counters();
         if counters.dropped() > self.last_drop_log.1 && now - self.last_drop_log.0 >= DROP_LOG_INTERVAL {
             self.last_drop_log = (now, counters.dropped());
-            let why: Vec<String> =
+            let reasons: Vec<String> =
                 show::drop_counts(&counters).iter().map(|c| format!("{} {}", c.why, c.count)).collect();
-            tracing::warn!("fleet: datagrams dropped so far: {}", why.join(", "));
+            tracing::warn!("fleet: datagrams dropped so far: {}", reasons.join(", "));
         }
     }
 }
--- a/src/fleet/view/facts.rs
+++ b/src/fleet/view/facts.rs
@@ -143,13 +143,13 @@
     /// youngest records, so that news spreads fast. The other half continues round-robin after the last datagram,
     /// least often sent records first, so that no record is starved.
     pub fn records_to_send(&mut self, now: Micros, room: usize, max_sends: u32) -> Vec<Record> {
-        let from = self.resume_after.take();
-        let after = |a: &SocketAddr| from.is_none_or(|f| *a > f);
-        let waiting = || self.entries.iter().filter(|(_, e)| e.times_sent < max_sends);
+        let resume_after = self.resume_after.take();
+        let is_after = |a: &SocketAddr| resume_after.is_none_or(|r| *a > r);
+        let pending = || self.entries.iter().filter(|(_, e)| e.times_sent < max_sends);
         let age = |e: &Entry| e.age_at_receipt + (now - e.received_at);
-        let mut youngest: Vec<(Micros, SocketAddr)> = waiting().map(|(a, e)| (age(e), *a)).collect();
+        let mut youngest: Vec<(Micros, SocketAddr)> = pending().map(|(a, e)| (age(e), *a)).collect();
         let mut round_robin: Vec<(u32, bool, SocketAddr)> =
-            waiting().map(|(a, e)| (e.times_sent, !after(a), *a)).collect();
+            pending().map(|(a, e)| (e.times_sent, !is_after(a), *a)).collect();
         youngest.sort_unstable();
         round_robin.sort_unstable();
         let mut added = BTreeSet::new();
--- a/src/fleet/view/mod.rs
+++ b/src/fleet/view/mod.rs
@@ -220,6 +220,7 @@
     }
 }
 
+/// What to do when a timer fires.
 #[derive(Clone, Debug)]
 enum TimerKind {
     Swim(Timer<Identity>),
@@ -230,6 +231,7 @@
     QuerySuspect(Identity, u16),
 }
 
+/// A member that was reported up or down.
 #[derive(Clone, Debug)]
 struct KnownMember {
     identity: Identity,
@@ -240,6 +242,7 @@
     bucket: usize,
 }
 
+/// The report of the last status request, kept while its pages are fetched.
 struct StatusCache {
     nonce: u64,
     at: Micros,
@@ -309,14 +312,14 @@
             config,
         };
         // Each period starts at a random phase, so that hundreds of processes that start at once do not send at once.
-        for (period, due) in [
+        for (period, kind) in [
             (view.timing.gossip_period, TimerKind::Join),
             (view.timing.facts_period, TimerKind::Facts),
             (view.timing.sync_period, TimerKind::Sync),
             (view.timing.sync_period, TimerKind::Housekeeping),
         ] {
             let after = view.random_phase(period);
-            view.schedule(now, after, due);
+            view.schedule(now, after, kind);
         }
         view
     }
@@ -410,8 +413,8 @@
             }
             Event::Wake => {
                 while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= effective) {
-                    let due = entry.remove();
-                    self.on_timer(now, effective, due, out);
+                    let kind = entry.remove();
+                    self.on_timer(now, effective, kind, out);
                 }
             }
             Event::OwnFacts(facts) => {
@@ -438,9 +441,9 @@
         }
     }
 
-    fn schedule(&mut self, effective: Micros, after: Micros, due: TimerKind) {
+    fn schedule(&mut self, effective: Micros, after: Micros, kind: TimerKind) {
         self.timer_seq += 1;
-        self.timers.insert((effective + after, self.timer_seq), due);
+        self.timers.insert((effective + after, self.timer_seq), kind);
     }
 
     /// A random fraction of a period.
@@ -679,7 +682,7 @@
         self.config.own = self.own().clone();
         // The library cannot revive a member that is down, so a new instance replaces it.
         self.swim = new_swim(&self.config, &self.timing, &mut self.rng, self.transmissions);
-        self.timers.retain(|_, due| !matches!(due, TimerKind::Swim(_) | TimerKind::QuerySuspect(..)));
+        self.timers.retain(|_, kind| !matches!(kind, TimerKind::Swim(_) | TimerKind::QuerySuspect(..)));
         self.removal_timers.clear();
         let restored =
             table.into_iter().map(|m| match verdicts.contains(m.id()) || m.state() != State::Down {
@@ -742,14 +745,14 @@
         }
         // The views differ, so the next comparison comes sooner.
         let delay = self.random_phase(self.timing.gossip_period);
-        self.timers.retain(|_, due| !matches!(due, TimerKind::Sync));
+        self.timers.retain(|_, kind| !matches!(kind, TimerKind::Sync));
         self.schedule(effective, self.timing.gossip_period + delay, TimerKind::Sync);
     }
 
     // ---- timers ----
 
-    fn on_timer(&mut self, now: Micros, effective: Micros, due: TimerKind, out: &mut Vec<Output>) {
-        match due {
+    fn on_timer(&mut self, now: Micros, effective: Micros, kind: TimerKind, out: &mut Vec<Output>) {
+        match kind {
             TimerKind::Swim(timer) => {
                 if let Timer::RemoveDown(identity) = &timer {
                     self.removal_timers.remove(&identity.address);
--- a/tests/fleet_view.rs
+++ b/tests/view.rs
@@ -245,7 +245,8 @@
     net.start(5, "n4");
     assert_settles(&mut net, 5_000);
     net.run(20_000);
-    let duplicate = |owns_name: bool| move |n: &Notification| matches!(n, Notification::DuplicateName(_, o) if *o == owns_name);
+    let duplicate =
+        |owns: bool| move |n: &Notification| matches!(n, Notification::DuplicateName(_, o) if *o == owns);
     assert_eq!(
         (count_notifications(&net, 4, duplicate(false)), count_notifications(&net, 4, duplicate(true))),
         (1, 0)
@@ -365,7 +366,7 @@
     assert!(view.largest_table() <= MAX_MEMBERS, "{} in the tables", view.largest_table());
     assert!(view.counters().table_full > 0, "the bound was reached");
     for n in 0..8 {
-        assert!(view.live().any(|i| i.address == address(n)), "n{n} is still there");
+        assert!(view.live().any(|i| i.address == address(n)), "n{n} is still live");
     }
     // Once forged members have been declared down, all live members are still listed.
     net.run(30_000);
