--- a/src/cli.rs
+++ b/src/cli.rs
@@ -3,8 +3,8 @@
 use crate::config::{
     Config, OperatorConfig, CONFIG_VARIABLE, LISTEN_VARIABLE, NAME_VARIABLE, OPERATOR_VARIABLE,
 };
-use crate::fleet::show::{self, Shown as FleetView};
-use crate::fleet::wire::{self, Identity, Kind, DATAGRAM_MOST};
+use crate::fleet::show::{self, FleetStatus};
+use crate::fleet::wire::{self, Identity, Kind, MAX_DATAGRAM_BYTES};
 use crate::interface::Micros;
 use crate::learning::{LearnedHub, LearnedState};
 use crate::state::{self, CheckedFile};
@@ -168,9 +168,9 @@
     if *json {
         return Ok(CommandOutput { text: text + "\n", success: true });
     }
-    let view: FleetView =
+    let view: FleetStatus =
         json::from_str(&text).map_err(|_| format!("{address}: the answer is not a view of a fleet"))?;
-    Ok(CommandOutput { text: show::table(&view), success: true })
+    Ok(CommandOutput { text: show::format_table(&view), success: true })
 }
 
 /// Requests the fleet view of the program at `address` page by page. Returns it as JSON.
@@ -183,19 +183,25 @@
     let nonce = u64::from(std::process::id()) << 32 | u64::from(socket.local_addr()?.port());
     let (mut text, mut page, mut page_count) = (Vec::new(), 0, 1);
     let end = Instant::now() + FLEET_QUERY_TIMEOUT;
-    let mut buffer = [0; DATAGRAM_MOST];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     while page < page_count {
         if Instant::now() > end {
             return Err(std::io::Error::new(std::io::ErrorKind::TimedOut, "no answer"));
         }
         let body: Vec<u8> = [nonce, page].iter().flat_map(|n| n.to_be_bytes()).collect();
-        socket.send(&wire::seal("", &Identity::at(socket.local_addr()?), Kind::Ask, false, &body))?;
+        socket.send(&wire::encode_datagram(
+            "",
+            &Identity::from_address(socket.local_addr()?),
+            Kind::StatusRequest,
+            false,
+            &body,
+        ))?;
         let requested = Instant::now();
         while requested.elapsed() < PAGE_RETRY_INTERVAL {
             let Ok(length) = socket.recv(&mut buffer) else { continue };
-            let Ok(envelope) = wire::open("", &buffer[..length]) else { continue };
-            let Some(([n, p, total], part)) = show::read_page(envelope.body) else { continue };
-            if envelope.kind == Kind::Told && n == nonce && p == page && total <= show::PAGES_MOST {
+            let Ok(envelope) = wire::decode_datagram("", &buffer[..length]) else { continue };
+            let Some(([n, p, total], part)) = show::decode_page(envelope.body) else { continue };
+            if envelope.kind == Kind::StatusPage && n == nonce && p == page && total <= show::MAX_PAGES {
                 text.extend_from_slice(part);
                 (page, page_count) = (page + 1, total);
                 break;
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
 //! Reads and validates all configuration and applies defaults: the simulator's `init`, the platform's environment
 //! and JSON file, and the operator's file. Errors name the faulty key by its path.
 
-use crate::fleet::wire::{LABEL_MOST, NAME_MOST};
+use crate::fleet::wire::{MAX_LABEL_BYTES, MAX_NAME_BYTES};
 use crate::interface::*;
 use crate::learning::DecaySettings;
 use ipnet::IpNet;
@@ -501,10 +501,10 @@
         if let Some(file) = get(OPERATOR_VARIABLE) {
             let value = parse(&load(OPERATOR_VARIABLE, &file)?, OPERATOR_VARIABLE)?;
             config.operator = OperatorConfig::read(&JsonNode::root(&value, ""), &config.names)?;
-            if config.operator.fleet.is_some() && !(1..=NAME_MOST).contains(&config.name.len()) {
+            if config.operator.fleet.is_some() && !(1..=MAX_NAME_BYTES).contains(&config.name.len()) {
                 return Err(error(
                     "name",
-                    format!("expected 1 to {NAME_MOST} bytes, as the fleet is configured"),
+                    format!("expected 1 to {MAX_NAME_BYTES} bytes, as the fleet is configured"),
                 ));
             }
         }
@@ -593,8 +593,8 @@
 impl FleetConfig {
     fn read(at: &JsonNode) -> ConfigResult<FleetConfig> {
         let label = |at: JsonNode, min_length: usize| match at.text()? {
-            text if (min_length..=LABEL_MOST).contains(&text.len()) => Ok(text.to_string()),
-            _ => Err(at.expected(&format!("a name of {min_length} to {LABEL_MOST} bytes"))),
+            text if (min_length..=MAX_LABEL_BYTES).contains(&text.len()) => Ok(text.to_string()),
+            _ => Err(at.expected(&format!("a name of {min_length} to {MAX_LABEL_BYTES} bytes"))),
         };
         fn bounded_list<'a>(at: &JsonNode<'a>) -> ConfigResult<Vec<JsonNode<'a>>> {
             match at.list()? {
--- a/src/fleet/lease/voter.rs
+++ b/src/fleet/lease/voter.rs
@@ -1,118 +1,129 @@
-//! A voter: grants a task to one holder at a time, for a term by its own clock.
+//! The granting side of leases: grants each task to one holder at a time, for a term by the voter's own clock.
 
-use super::{Answer, Ask, Ballot, Epoch, Holder, Task, TERM_MOST};
+use super::{Answer, Ask, Ballot, Epoch, Holder, Task, MAX_TERM};
 use crate::interface::Micros;
 use std::collections::BTreeMap;
 
-/// Tasks that a voter keeps at most.
-pub const TASKS_MOST: usize = 8_192;
+/// Number of tasks from which on a voter evicts one that nobody holds before it adds another.
+pub const MAX_TASKS: usize = 8_192;
 
-/// What was granted of a task, and what was promised.
+/// The state of one task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Slot {
+struct TaskState {
     promised: Option<Ballot>,
-    /// The newest epoch granted, to whom, and until when that holds.
+    /// The newest epoch granted, its holder, and when the grant ends.
     granted: Option<(Epoch, Holder, Micros)>,
 }
 
-/// One voter's memory. It is lost at a restart, and silence takes its place.
+/// A voter. Its state is lost at a restart, which a period of silence makes up for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    /// Until then nothing is answered.
-    silent: Micros,
-    /// No epoch that this voter knew before it started, or of a slot that was forgotten, is newer.
-    floor: Epoch,
-    /// No ballot promised in a slot that was forgotten is later.
-    promised: Option<Ballot>,
-    slots: BTreeMap<Task, Slot>,
+    /// No request is answered before this time.
+    silent_until: Micros,
+    /// Upper bound of the epochs that this voter granted before it started, or to tasks that it has evicted.
+    min_epoch: Epoch,
+    /// The latest ballot promised in any evicted task.
+    max_forgotten_ballot: Option<Ballot>,
+    tasks: BTreeMap<Task, TaskState>,
 }
 
 impl Voter {
-    /// A voter that starts at `now`, by the Unix clock as it stood at the start, moved on by the monotonic one.
+    /// Creates a voter that starts at `now`: the Unix time at the start of the process, advanced by the monotonic
+    /// clock.
     ///
-    /// Danger: what it granted before it started is forgotten and may still be held. It answers nothing until the
-    /// longest term is over. Its epochs begin at the time when it first answers: later than any that was granted
-    /// before, as long as voters' Unix clocks agree within half of that silence (each grant takes over a millisecond).
+    /// What the voter granted before it started is forgotten and may still be in force, so it answers nothing until
+    /// the longest term is over. Its epochs begin at the time of its first possible answer. They are later than all
+    /// that were granted before, as long as the Unix clocks of voters agree within half of that silence (each grant
+    /// takes more than a millisecond).
     pub fn new(now: Micros) -> Voter {
-        let silent = now + TERM_MOST;
-        Voter { silent, floor: Epoch(silent.0 / 1000), promised: None, slots: BTreeMap::new() }
+        let silent_until = now + MAX_TERM;
+        Voter {
+            silent_until,
+            min_epoch: Epoch(silent_until.0 / 1000),
+            max_forgotten_ballot: None,
+            tasks: BTreeMap::new(),
+        }
     }
 
-    /// Until when it is silent.
+    /// When the initial silence ends.
     pub fn silent_until(&self) -> Micros {
-        self.silent
+        self.silent_until
     }
 
-    /// Answers one question about a task; nothing while it is silent, and to a release.
+    /// Handles a request about a task. There is no answer during the initial silence or to a release.
     pub fn handle(&mut self, now: Micros, task: Task, ask: Ask) -> Option<Answer> {
-        if now < self.silent {
+        if now < self.silent_until {
             return None;
         }
-        let forgotten = Slot { promised: self.promised, granted: None };
-        let mut slot = self.slots.get(&task).copied().unwrap_or(forgotten);
-        let by = match ask {
-            Ask::Prepare(ballot) | Ask::Propose(ballot, ..) => ballot.by,
-            Ask::Release(by, _) => by,
+        let forgotten = TaskState { promised: self.max_forgotten_ballot, granted: None };
+        let mut state = self.tasks.get(&task).copied().unwrap_or(forgotten);
+        let requester = match ask {
+            Ask::Prepare(ballot) | Ask::Propose(ballot, ..) => ballot.proposer,
+            Ask::Release(holder, _) => holder,
         };
-        let live = slot.granted.filter(|(.., until)| *until > now);
-        let other = live.filter(|(_, holder, _)| *holder != by);
+        let live = state.granted.filter(|(.., until)| *until > now);
+        let held_by_other = live.filter(|(_, holder, _)| *holder != requester);
         let answer = match ask {
-            Ask::Prepare(ballot) | Ask::Propose(ballot, ..) if other.is_some() => {
-                // Nothing is promised: a contender must not disturb whoever holds it.
-                return other.map(|(_, holder, until)| Answer::Held(ballot, holder, until - now));
+            Ask::Prepare(ballot) | Ask::Propose(ballot, ..) if held_by_other.is_some() => {
+                // The ballot is not promised, so that a contender does not disturb the holder.
+                return held_by_other.map(|(_, holder, until)| Answer::Held(ballot, holder, until - now));
             }
             Ask::Prepare(ballot) => {
-                if slot.promised.is_some_and(|p| ballot <= p) {
-                    return Some(Answer::Older(ballot, slot.promised.map_or(0, |p| p.round)));
+                if state.promised.is_some_and(|p| ballot <= p) {
+                    return Some(Answer::Superseded(ballot, state.promised.map_or(0, |p| p.round)));
                 }
-                slot.promised = Some(ballot);
-                Answer::Promised(ballot, slot.granted.map_or(self.floor, |(epoch, ..)| epoch.max(self.floor)))
+                state.promised = Some(ballot);
+                Answer::Promised(
+                    ballot,
+                    state.granted.map_or(self.min_epoch, |(epoch, ..)| epoch.max(self.min_epoch)),
+                )
             }
             Ask::Propose(ballot, epoch, term) => {
-                // Danger: an old holder that renews late must not come between a newer epoch and its end.
-                let newest = slot.granted.map_or(self.floor, |(epoch, ..)| epoch.max(self.floor));
-                let own = slot.granted.is_some_and(|(e, holder, _)| e == epoch && holder == by);
-                let stale = epoch < newest || epoch == newest && !own;
-                if stale || slot.promised.is_some_and(|p| ballot < p) {
-                    return Some(Answer::Older(ballot, slot.promised.map_or(0, |p| p.round)));
+                // A late renewal by a former holder must not displace the grant of a newer epoch.
+                let newest = state.granted.map_or(self.min_epoch, |(epoch, ..)| epoch.max(self.min_epoch));
+                let is_renewal =
+                    state.granted.is_some_and(|(e, holder, _)| e == epoch && holder == requester);
+                let stale = epoch < newest || epoch == newest && !is_renewal;
+                if stale || state.promised.is_some_and(|p| ballot < p) {
+                    return Some(Answer::Superseded(ballot, state.promised.map_or(0, |p| p.round)));
                 }
-                slot.promised = Some(ballot);
-                let term = Micros(term.0.min(TERM_MOST.0));
-                slot.granted = Some((epoch, by, now + term));
+                state.promised = Some(ballot);
+                let term = Micros(term.0.min(MAX_TERM.0));
+                state.granted = Some((epoch, requester, now + term));
                 Answer::Accepted(ballot)
             }
             Ask::Release(holder, epoch) => {
-                if let Some((e, h, until)) = &mut slot.granted {
+                if let Some((e, h, until)) = &mut state.granted {
                     if (*e, *h) == (epoch, holder) {
                         *until = now.min(*until);
-                        self.slots.insert(task, slot);
+                        self.tasks.insert(task, state);
                     }
                 }
                 return None;
             }
         };
-        self.make_room(now, task);
-        self.slots.insert(task, slot);
+        self.evict_idle_task(now, task);
+        self.tasks.insert(task, state);
         Some(answer)
     }
 
-    /// Forgets a task that nobody holds when there are too many. What it knew goes into the bounds for all that is
-    /// not known, so that neither epochs nor ballots step back.
-    fn make_room(&mut self, now: Micros, task: Task) {
-        if self.slots.len() < TASKS_MOST || self.slots.contains_key(&task) {
+    /// If the table is full, evicts a task that nobody holds. Its epoch and ballot enter the bounds for unknown
+    /// tasks, so that neither ever goes back.
+    fn evict_idle_task(&mut self, now: Micros, task: Task) {
+        if self.tasks.len() < MAX_TASKS || self.tasks.contains_key(&task) {
             return;
         }
-        let free = |s: &Slot| s.granted.is_none_or(|(.., until)| until <= now);
-        let Some((task, slot)) = self.slots.iter().find(|(_, s)| free(s)).map(|(t, s)| (*t, *s)) else {
+        let free = |s: &TaskState| s.granted.is_none_or(|(.., until)| until <= now);
+        let Some((task, state)) = self.tasks.iter().find(|(_, s)| free(s)).map(|(t, s)| (*t, *s)) else {
             return;
         };
-        self.slots.remove(&task);
-        self.promised = self.promised.max(slot.promised);
-        self.floor = slot.granted.map_or(self.floor, |(epoch, ..)| epoch.max(self.floor));
+        self.tasks.remove(&task);
+        self.max_forgotten_ballot = self.max_forgotten_ballot.max(state.promised);
+        self.min_epoch = state.granted.map_or(self.min_epoch, |(epoch, ..)| epoch.max(self.min_epoch));
     }
 
-    /// Tasks known.
-    pub fn held(&self) -> usize {
-        self.slots.len()
+    /// Number of tasks in the table.
+    pub fn task_count(&self) -> usize {
+        self.tasks.len()
     }
 }
--- a/src/fleet/show.rs
+++ b/src/fleet/show.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of a view: JSON in pages, as a table on request.
+//! The status report for operators: encoded as JSON, sent in pages, formatted as a table.
 
 use super::view::{Counters, Phase, View};
 use super::wire;
@@ -6,126 +6,126 @@
 use miniserde::{json, Deserialize, Serialize};
 use std::fmt::Write;
 
-/// Pages that an answer has at most: a view of the largest table fits.
-pub const PAGES_MOST: u64 = 2_048;
+/// Maximum number of pages of a report. A report on the largest member table fits.
+pub const MAX_PAGES: u64 = 2_048;
 
-/// A view, as an operator sees it.
+/// A membership view, as reported to operators.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Shown {
+pub struct FleetStatus {
     /// The fleet's name.
     pub fleet: String,
-    /// Whose view it is.
+    /// The process whose view this is.
     pub by: String,
-    /// The same where views are equal.
+    /// Hash of the view. Equal views have equal hashes.
     pub hash: String,
-    /// Members that count as there.
+    /// Number of live members.
     pub live: usize,
-    /// Everyone known.
-    pub members: Vec<ShownMember>,
-    /// Datagrams sent, and their bytes.
+    /// All known members.
+    pub members: Vec<MemberStatus>,
+    /// Datagrams sent.
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams heard.
+    /// Datagrams received.
     pub heard: u64,
-    /// Dropped, by why.
-    pub dropped: Vec<ShownCount>,
-    /// Suspicions raised here.
+    /// Dropped datagrams and entries, by reason.
+    pub dropped: Vec<DropCount>,
+    /// Suspicions raised by this process.
     pub suspected: u64,
-    /// Times that this process woke up too late.
+    /// Number of wakes that came too late.
     pub late: u64,
 }
 
-/// A count under a name.
+/// The number of drops for one reason.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ShownCount {
-    /// What is counted.
+pub struct DropCount {
+    /// The reason.
     pub why: String,
-    /// How many.
+    /// The number of drops.
     pub count: u64,
 }
 
-/// A member.
+/// One member, as reported to operators.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ShownMember {
-    /// Its name.
+pub struct MemberStatus {
+    /// The member's name.
     pub name: String,
-    /// Where it is reached.
+    /// The member's address.
     pub address: String,
-    /// Its zone.
+    /// The member's zone.
     pub zone: String,
-    /// The Unix millisecond of its start, or later.
+    /// Start time as a Unix timestamp in milliseconds. Higher if the member had to rejoin.
     pub generation: u64,
     /// joining, alive, suspect, leaving or gone.
     pub phase: String,
-    /// Another process has its name and started later.
+    /// Another process with the same name started later.
     pub displaced: bool,
-    /// So long it is there, or gone, as seen from here.
+    /// Milliseconds since the last change between live and gone, as seen by the reporting process.
     pub since_ms: u64,
-    /// Calls offered a second.
+    /// Calls offered per second.
     pub offered: Option<u64>,
-    /// Set-ups out and calls standing.
+    /// Set-ups awaiting an answer, plus established calls.
     pub out: Option<u64>,
-    /// The newest change-log event it has seen.
+    /// Sequence number of the newest change-log event that the member has received.
     pub seq: Option<u64>,
-    /// Its program's version.
+    /// Version of the member's program.
     pub program: Option<String>,
-    /// How old that is.
+    /// Age of the member's facts in milliseconds.
     pub facts_age_ms: Option<u64>,
 }
 
-/// A view as JSON text.
-pub fn render(view: &View, now: Micros) -> String {
-    let member = |seen: super::view::Seen| {
-        let age = seen.facts.as_ref().map(|f| f.1 .0 / 1000);
-        let facts = seen.facts.map(|f| f.0);
-        ShownMember {
-            name: seen.identity.name.to_string(),
-            address: seen.identity.address.to_string(),
-            zone: seen.identity.zone.to_string(),
-            generation: seen.identity.generation,
-            phase: phase(seen.phase).into(),
-            displaced: seen.displaced,
-            since_ms: (now - seen.since).0 / 1000,
+/// Renders the report on a view as JSON.
+pub fn render_json(view: &View, now: Micros) -> String {
+    let member_status = |member: super::view::MemberInfo| {
+        let age = member.facts.as_ref().map(|f| f.1 .0 / 1000);
+        let facts = member.facts.map(|f| f.0);
+        MemberStatus {
+            name: member.identity.name.to_string(),
+            address: member.identity.address.to_string(),
+            zone: member.identity.zone.to_string(),
+            generation: member.identity.generation,
+            phase: phase_name(member.phase).into(),
+            displaced: member.displaced,
+            since_ms: (now - member.since).0 / 1000,
             offered: facts.as_ref().map(|f| f.offered.into()),
-            out: facts.as_ref().map(|f| f.out.into()),
-            seq: facts.as_ref().map(|f| f.seq),
+            out: facts.as_ref().map(|f| f.outstanding.into()),
+            seq: facts.as_ref().map(|f| f.change_log_seq),
             program: facts.map(|f| f.program),
             facts_age_ms: age,
         }
     };
-    let Counters { sent, sent_bytes, heard, suspected, late, .. } = view.counters();
-    json::to_string(&Shown {
+    let Counters { sent, sent_bytes, received, suspected, late_wakes, .. } = view.counters();
+    json::to_string(&FleetStatus {
         fleet: view.fleet().into(),
         by: view.own().to_string(),
         hash: format!("{:016x}", view.hash()),
         live: view.live().count(),
-        members: view.members(now).into_iter().map(member).collect(),
+        members: view.members(now).into_iter().map(member_status).collect(),
         sent,
         sent_bytes,
-        heard,
-        dropped: dropped(&view.counters()),
+        heard: received,
+        dropped: drop_counts(&view.counters()),
         suspected,
-        late,
+        late: late_wakes,
     })
 }
 
-/// What was dropped, by why.
-pub fn dropped(counters: &Counters) -> Vec<ShownCount> {
+/// The drop counters that are not zero.
+pub fn drop_counts(counters: &Counters) -> Vec<DropCount> {
     let counts = [
         ("too long", counters.too_long),
         ("foreign", counters.foreign),
-        ("torn", counters.torn),
-        ("newer", counters.newer),
-        ("stranger", counters.strangers),
-        ("full", counters.full),
-        ("own address", counters.own),
+        ("torn", counters.corrupt),
+        ("newer", counters.unsupported_version),
+        ("stranger", counters.outside_prefixes),
+        ("full", counters.table_full),
+        ("own address", counters.own_address),
     ];
-    let some = counts.into_iter().filter(|(_, count)| *count > 0);
-    some.map(|(why, count)| ShownCount { why: why.into(), count }).collect()
+    let nonzero = counts.into_iter().filter(|(_, count)| *count > 0);
+    nonzero.map(|(why, count)| DropCount { why: why.into(), count }).collect()
 }
 
-fn phase(phase: Phase) -> &'static str {
+fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Joining => "joining",
         Phase::Alive => "alive",
@@ -135,40 +135,42 @@
     }
 }
 
-/// One page of a text: the asker's number, which page, of how many, and its bytes.
-pub fn page(nonce: u64, page: u64, text: &[u8], room: usize) -> Vec<u8> {
-    let each = room.saturating_sub(24).max(1);
-    let pages = text.len().div_ceil(each).max(1) as u64;
+/// Encodes one page of a text: the request's nonce, the page number, the number of pages, and the bytes of the page.
+pub fn encode_page(nonce: u64, page: u64, text: &[u8], max_len: usize) -> Vec<u8> {
+    let page_len = max_len.saturating_sub(24).max(1);
+    let pages = text.len().div_ceil(page_len).max(1) as u64;
     let mut body: Vec<u8> = [nonce, page, pages].iter().flat_map(|n| n.to_be_bytes()).collect();
-    let from = usize::try_from(page).ok().and_then(|p| p.checked_mul(each)).unwrap_or(usize::MAX);
-    body.extend_from_slice(text.get(from..text.len().min(from.saturating_add(each))).unwrap_or_default());
+    let start = usize::try_from(page).ok().and_then(|p| p.checked_mul(page_len)).unwrap_or(usize::MAX);
+    body.extend_from_slice(
+        text.get(start..text.len().min(start.saturating_add(page_len))).unwrap_or_default(),
+    );
     body
 }
 
-/// Reads a page: the number asked under, which page, of how many, and its bytes.
-pub fn read_page(body: &[u8]) -> Option<([u64; 3], &[u8])> {
+/// Decodes a page into its nonce, page number and number of pages, and its bytes.
+pub fn decode_page(body: &[u8]) -> Option<([u64; 3], &[u8])> {
     let (numbers, rest) = body.split_at_checked(24)?;
     Some((wire::read_numbers(numbers).ok()?, rest))
 }
 
-/// The table that an operator sees.
-pub fn table(shown: &Shown) -> String {
+/// Formats a report as a table.
+pub fn format_table(status: &FleetStatus) -> String {
     let mut text = String::new();
     let _ = writeln!(
         text,
         "fleet {}, seen by {}: {} live, hash {}\n\
          datagrams sent {} ({} bytes), heard {}; suspicions raised {}; woken late {}",
-        shown.fleet,
-        shown.by,
-        shown.live,
-        shown.hash,
-        shown.sent,
-        shown.sent_bytes,
-        shown.heard,
-        shown.suspected,
-        shown.late
+        status.fleet,
+        status.by,
+        status.live,
+        status.hash,
+        status.sent,
+        status.sent_bytes,
+        status.heard,
+        status.suspected,
+        status.late
     );
-    for ShownCount { why, count } in &shown.dropped {
+    for DropCount { why, count } in &status.dropped {
         let _ = writeln!(text, "dropped, {why}: {count}");
     }
     let _ = writeln!(
@@ -176,8 +178,8 @@
         "{:<20}{:<22}{:<12}{:<10}{:>9}{:>9}{:>8}{:>8}{:>8}  program",
         "name", "address", "zone", "phase", "since s", "calls/s", "out", "event", "age ms"
     );
-    let or = |n: Option<u64>| n.map_or("-".into(), |n| n.to_string());
-    for m in &shown.members {
+    let or_dash = |n: Option<u64>| n.map_or("-".into(), |n| n.to_string());
+    for m in &status.members {
         let phase = if m.displaced { format!("{}*", m.phase) } else { m.phase.clone() };
         let _ = writeln!(
             text,
@@ -187,14 +189,14 @@
             m.zone,
             phase,
             m.since_ms as f64 / 1e3,
-            or(m.offered),
-            or(m.out),
-            or(m.seq),
-            or(m.facts_age_ms),
+            or_dash(m.offered),
+            or_dash(m.out),
+            or_dash(m.seq),
+            or_dash(m.facts_age_ms),
             m.program.as_deref().unwrap_or("-")
         );
     }
-    if shown.members.iter().any(|m| m.displaced) {
+    if status.members.iter().any(|m| m.displaced) {
         let _ = writeln!(text, "* another process has this name and started later");
     }
     text
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -1,6 +1,6 @@
-//! The fleet's datagrams: one envelope, and what stands in it (docs/FLEET-WIRE.md).
+//! The datagram format of the fleet protocol: a common envelope and the bodies that it carries.
 //!
-//! Everything is big-endian. Nothing here allocates more than a datagram's length allows.
+//! All integers are big-endian. Decoding never allocates more than the length of the datagram allows.
 
 use bytes::{Buf, BufMut};
 use foca::{Codec, Header, Member, Message, State};
@@ -12,78 +12,80 @@
 use winnow::token::take;
 use winnow::{ModalResult, Parser};
 
-/// No datagram is longer.
-pub const DATAGRAM_MOST: usize = 1_400;
-/// The form spoken.
+/// Maximum length of a datagram.
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// Protocol version written by this program.
 pub const VERSION: u8 = 1;
-/// The oldest reader that understands what is written; what comes after the body it skips.
-pub const LEAST: u8 = 1;
-/// A member's name has at most so many bytes.
-pub const NAME_MOST: usize = 64;
-/// A fleet's or a zone's name has at most so many bytes.
-pub const LABEL_MOST: usize = 32;
-/// One member's facts have at most so many bytes.
-pub const FACTS_MOST: usize = 200;
+/// Oldest protocol version whose readers understand what this program writes. Such a reader skips any bytes after the
+/// body.
+pub const MIN_READER_VERSION: u8 = 1;
+/// Maximum length of a member's name.
+pub const MAX_NAME_BYTES: usize = 64;
+/// Maximum length of a fleet or zone name.
+pub const MAX_LABEL_BYTES: usize = 32;
+/// Maximum length of one member's encoded facts.
+pub const MAX_FACTS_BYTES: usize = 200;
 
 const MAGIC: [u8; 2] = *b"PF";
-/// Magic, version, least reader, kind, flags, checksum.
-const HEAD: usize = 10;
-/// Who sends it has heard nothing for a while: its suspicions may be its own fault.
-const UNSURE: u8 = 1;
+/// Magic, version, minimum reader version, kind, flags, checksum.
+const HEADER_BYTES: usize = 10;
+/// Flag: the sender has received no answer for a while, so its suspicions may be due to its own connectivity.
+const FLAG_ISOLATED: u8 = 1;
 
-/// What a datagram is for. Other values are left to later versions.
+/// The kind of a datagram. All other values are reserved for later versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A message of the membership protocol (SWIM).
+    /// A message of the SWIM membership protocol.
     Swim = 1,
-    /// Members' facts.
+    /// Facts about members.
     Facts = 2,
-    /// Sums over the sender's view; what differs is answered with [`Kind::Entries`] and sums in return.
+    /// Per-bucket hash sums of the sender's view. The receiver answers with [`Kind::Entries`] for the buckets that
+    /// differ and with its own sums.
     Sync = 3,
-    /// The sums in return: answered with entries alone.
-    Synced = 4,
-    /// Entries of a view.
+    /// Hash sums in reply to [`Kind::Sync`], answered with entries only.
+    SyncReply = 4,
+    /// Membership entries.
     Entries = 5,
-    /// The receiver is suspected: it is to refute.
-    Doubt = 6,
-    /// The receiver's identity is older than one that is known at its address.
+    /// Tells the receiver that it is suspected, so that it can refute the suspicion.
+    SuspectQuery = 6,
+    /// Tells the receiver that a later generation than its own is known for its address.
     Outdated = 7,
-    /// An operator asks for the view.
-    Ask = 8,
-    /// A page of it.
-    Told = 9,
+    /// An operator's request for one page of the view.
+    StatusRequest = 8,
+    /// One page of the view, in reply to [`Kind::StatusRequest`].
+    StatusPage = 9,
 }
 
 impl Kind {
-    fn of(code: u8) -> Option<Kind> {
+    fn from_code(code: u8) -> Option<Kind> {
         use Kind::*;
-        [Swim, Facts, Sync, Synced, Entries, Doubt, Outdated, Ask, Told]
+        [Swim, Facts, Sync, SyncReply, Entries, SuspectQuery, Outdated, StatusRequest, StatusPage]
             .into_iter()
             .find(|k| *k as u8 == code)
     }
 }
 
-/// One life of a member. Two at one address are told apart by their generation, the later one counts.
+/// One run of a member process. Of two identities with the same address, the one with the later generation wins.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Identity {
-    /// The process's name, the same after a restart.
+    /// The name of the process, which stays the same across restarts.
     pub name: Arc<str>,
-    /// Its zone; empty: none.
+    /// The zone, or an empty string for none.
     pub zone: Arc<str>,
-    /// Where it is reached.
+    /// The address at which the process receives datagrams.
     pub address: SocketAddr,
-    /// The Unix millisecond of its start, and one more each time that it had to come back.
+    /// Start time as a Unix timestamp in milliseconds. Higher if the process had to rejoin under a new identity.
     pub generation: u64,
 }
 
 impl Identity {
-    /// Whoever is reached at an address, before more is known of it.
-    pub fn at(address: SocketAddr) -> Identity {
+    /// An identity of which only the address is known.
+    pub fn from_address(address: SocketAddr) -> Identity {
         Identity { name: "".into(), zone: "".into(), address, generation: 0 }
     }
 
-    /// The same member's next life.
-    pub fn after(&self, generation: u64) -> Identity {
+    /// The identity of the same member with the generation that follows `generation`.
+    pub fn with_generation_after(&self, generation: u64) -> Identity {
         Identity { generation: generation.saturating_add(1), ..self.clone() }
     }
 }
@@ -98,7 +100,7 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Identity> {
-        Some(self.after(self.generation))
+        Some(self.with_generation_after(self.generation))
     }
 
     fn addr(&self) -> SocketAddr {
@@ -110,92 +112,102 @@
     }
 }
 
-/// Why a datagram is dropped.
+/// Why a datagram or an entry was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// Over [`DATAGRAM_MOST`].
+pub enum DropReason {
+    /// It is longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
-    /// Not of this protocol, or of another fleet.
+    /// It belongs to another protocol or another fleet.
     Foreign,
     /// Its checksum or one of its lengths is wrong.
-    Torn,
-    /// Only a later version can read it.
-    Newer,
-    /// Its sender, or an address that it names, is not under the operator's prefixes.
-    Stranger,
-    /// The tables are full.
-    Full,
-    /// It claims to come from this process.
-    Own,
-}
-
-/// A datagram, as far as its envelope goes.
+    Corrupt,
+    /// It requires a reader of a later version.
+    UnsupportedVersion,
+    /// Its sender, or an address that it contains, is outside the configured prefixes.
+    OutsidePrefixes,
+    /// The member table is full.
+    TableFull,
+    /// Its sender address is that of this process.
+    OwnAddress,
+}
+
+/// A decoded datagram whose body has not been decoded yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope<'a> {
-    /// What it is for.
+    /// The kind of the body.
     pub kind: Kind,
-    /// The sender may be the one that is cut off.
-    pub unsure: bool,
-    /// Who sent it; answers go to the address that it states. An operator who asks has no name.
+    /// The sender has received no answer for a while and may be cut off itself.
+    pub isolated: bool,
+    /// The sender. Replies go to the address stated here. The name is empty in an operator's request.
     pub sender: Identity,
-    /// What it says.
+    /// The encoded body.
     pub body: &'a [u8],
 }
 
-/// Writes a datagram. A body that does not fit gives one that is too long, which nobody sends.
-pub fn seal(fleet: &str, sender: &Identity, kind: Kind, unsure: bool, body: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(DATAGRAM_MOST);
+/// Encodes a datagram. A body that is too long yields a datagram over [`MAX_DATAGRAM_BYTES`], which the view does not
+/// send.
+pub fn encode_datagram(fleet: &str, sender: &Identity, kind: Kind, isolated: bool, body: &[u8]) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     bytes.extend_from_slice(&MAGIC);
-    bytes.extend_from_slice(&[VERSION, LEAST, kind as u8, if unsure { UNSURE } else { 0 }, 0, 0, 0, 0]);
-    label(&mut bytes, fleet);
-    identity(&mut bytes, sender);
+    bytes.extend_from_slice(&[
+        VERSION,
+        MIN_READER_VERSION,
+        kind as u8,
+        if isolated { FLAG_ISOLATED } else { 0 },
+        0,
+        0,
+        0,
+        0,
+    ]);
+    put_label(&mut bytes, fleet);
+    put_identity(&mut bytes, sender);
     bytes.put_u16(body.len() as u16);
     bytes.extend_from_slice(body);
     let sum = checksum(&bytes);
-    bytes[6..HEAD].copy_from_slice(&sum.to_be_bytes());
+    bytes[6..HEADER_BYTES].copy_from_slice(&sum.to_be_bytes());
     bytes
 }
 
-/// Bytes of an envelope around a body.
+/// Length of an envelope with an empty body.
 pub fn overhead(fleet: &str, sender: &Identity) -> usize {
-    seal(fleet, sender, Kind::Swim, false, &[]).len()
+    encode_datagram(fleet, sender, Kind::Swim, false, &[]).len()
 }
 
-/// Reads a datagram of this fleet.
-pub fn open<'a>(fleet: &str, bytes: &'a [u8]) -> Result<Envelope<'a>, Refused> {
-    if bytes.len() > DATAGRAM_MOST {
-        return Err(Refused::TooLong);
+/// Decodes the envelope of a datagram that belongs to `fleet`.
+pub fn decode_datagram<'a>(fleet: &str, bytes: &'a [u8]) -> Result<Envelope<'a>, DropReason> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(DropReason::TooLong);
     }
-    if bytes.len() < HEAD || bytes[..2] != MAGIC {
-        return Err(Refused::Foreign);
+    if bytes.len() < HEADER_BYTES || bytes[..2] != MAGIC {
+        return Err(DropReason::Foreign);
     }
     if checksum(bytes) != u32::from_be_bytes([bytes[6], bytes[7], bytes[8], bytes[9]]) {
-        return Err(Refused::Torn);
+        return Err(DropReason::Corrupt);
     }
-    // After the sum: what is torn must not be taken for a later version.
+    // Checked after the checksum, so that a corrupt datagram is not reported as a later version.
     if bytes[3] > VERSION {
-        return Err(Refused::Newer);
+        return Err(DropReason::UnsupportedVersion);
     }
-    let mut rest = &bytes[HEAD..];
-    let of = read_label.parse_next(&mut rest).map_err(|_| Refused::Torn)?;
-    let kind = Kind::of(bytes[4]).ok_or(Refused::Newer)?;
-    // An operator who asks need not know the fleet's name.
-    if &*of != fleet && !matches!(kind, Kind::Ask | Kind::Told) {
-        return Err(Refused::Foreign);
+    let mut rest = &bytes[HEADER_BYTES..];
+    let fleet_name = read_label.parse_next(&mut rest).map_err(|_| DropReason::Corrupt)?;
+    let kind = Kind::from_code(bytes[4]).ok_or(DropReason::UnsupportedVersion)?;
+    // An operator's tool does not need to know the name of the fleet.
+    if &*fleet_name != fleet && !matches!(kind, Kind::StatusRequest | Kind::StatusPage) {
+        return Err(DropReason::Foreign);
     }
-    let sender = read_identity.parse_next(&mut rest).map_err(|_| Refused::Torn)?;
-    let body = length_take(be_u16).parse_next(&mut rest).map_err(|_: Fault| Refused::Torn)?;
-    Ok(Envelope { kind, unsure: bytes[5] & UNSURE != 0, sender, body })
+    let sender = read_identity.parse_next(&mut rest).map_err(|_| DropReason::Corrupt)?;
+    let body = length_take(be_u16).parse_next(&mut rest).map_err(|_: ParseError| DropReason::Corrupt)?;
+    Ok(Envelope { kind, isolated: bytes[5] & FLAG_ISOLATED != 0, sender, body })
 }
 
-/// The form's checksum, over all but itself.
+/// CRC-32C of the datagram without its checksum field.
 pub fn checksum(bytes: &[u8]) -> u32 {
-    crc32c::crc32c_append(crc32c::crc32c(&bytes[..6]), &bytes[HEAD..])
+    crc32c::crc32c_append(crc32c::crc32c(&bytes[..6]), &bytes[HEADER_BYTES..])
 }
 
-type Fault = ErrMode<ContextError>;
+type ParseError = ErrMode<ContextError>;
 
-fn label(bytes: &mut impl BufMut, text: &str) {
+fn put_label(bytes: &mut impl BufMut, text: &str) {
     bytes.put_u8(text.len() as u8);
     bytes.put_slice(text.as_bytes());
 }
@@ -205,8 +217,8 @@
     text.parse_next(input)
 }
 
-/// Writes an address: the family, the address, the port.
-pub fn address(bytes: &mut impl BufMut, address: SocketAddr) {
+/// Writes an address: family (4 or 6), IP address, port.
+pub fn put_address(bytes: &mut impl BufMut, address: SocketAddr) {
     match address.ip() {
         IpAddr::V4(ip) => {
             bytes.put_u8(4);
@@ -233,32 +245,32 @@
     Ok(SocketAddr::new(ip, be_u16.parse_next(input)?))
 }
 
-fn identity(bytes: &mut impl BufMut, of: &Identity) {
-    label(bytes, &of.name);
-    label(bytes, &of.zone);
-    address(bytes, of.address);
-    bytes.put_u64(of.generation);
+fn put_identity(bytes: &mut impl BufMut, identity: &Identity) {
+    put_label(bytes, &identity.name);
+    put_label(bytes, &identity.zone);
+    put_address(bytes, identity.address);
+    bytes.put_u64(identity.generation);
 }
 
 fn read_identity(input: &mut &[u8]) -> ModalResult<Identity> {
-    let name = read_label.verify(|n: &Arc<str>| n.len() <= NAME_MOST).parse_next(input)?;
-    let zone = read_label.verify(|z: &Arc<str>| z.len() <= LABEL_MOST).parse_next(input)?;
+    let name = read_label.verify(|n: &Arc<str>| n.len() <= MAX_NAME_BYTES).parse_next(input)?;
+    let zone = read_label.verify(|z: &Arc<str>| z.len() <= MAX_LABEL_BYTES).parse_next(input)?;
     let (address, generation) = (read_address, be_u64).parse_next(input)?;
     Ok(Identity { name, zone, address, generation })
 }
 
-/// Writes an entry of a view: who, the refutations, the state.
-pub fn member(bytes: &mut impl BufMut, of: &Member<Identity>) {
-    identity(bytes, of.id());
-    bytes.put_u16(of.incarnation());
-    bytes.put_u8(match of.state() {
+/// Writes a membership entry: identity, incarnation, state.
+pub fn put_member(bytes: &mut impl BufMut, entry: &Member<Identity>) {
+    put_identity(bytes, entry.id());
+    bytes.put_u16(entry.incarnation());
+    bytes.put_u8(match entry.state() {
         State::Alive => 1,
         State::Suspect => 2,
         State::Down => 3,
     });
 }
 
-/// Reads an entry of a view.
+/// Reads a membership entry.
 pub fn read_member(input: &mut &[u8]) -> ModalResult<Member<Identity>> {
     let (id, incarnation) = (read_identity, be_u16).parse_next(input)?;
     let mut state = u8.verify_map(|s| match s {
@@ -270,24 +282,24 @@
     Ok(Member::new(id, incarnation, state.parse_next(input)?))
 }
 
-/// Bytes that an entry takes.
-pub fn member_bytes(of: &Member<Identity>) -> usize {
+/// Encoded length of a membership entry.
+pub fn member_len(entry: &Member<Identity>) -> usize {
     let mut bytes = Vec::with_capacity(64);
-    member(&mut bytes, of);
+    put_member(&mut bytes, entry);
     bytes.len()
 }
 
-/// Writes the head of a SWIM message. Who sent it stands in the envelope too, so that a body can be read alone.
-fn header(bytes: &mut impl BufMut, of: &Header<Identity>) {
-    identity(bytes, &of.src);
-    bytes.put_u16(of.src_incarnation);
-    identity(bytes, &of.dst);
-    let mut indirect = |code: u8, who: &Identity, number: u8| {
+/// Writes the header of a SWIM message. It repeats the sender of the envelope, so that a body can be decoded alone.
+fn put_header(bytes: &mut impl BufMut, header: &Header<Identity>) {
+    put_identity(bytes, &header.src);
+    bytes.put_u16(header.src_incarnation);
+    put_identity(bytes, &header.dst);
+    let mut indirect = |code: u8, identity: &Identity, number: u8| {
         bytes.put_u8(code);
-        identity(bytes, who);
+        put_identity(bytes, identity);
         bytes.put_u8(number);
     };
-    match &of.message {
+    match &header.message {
         Message::PingReq { target, probe_number } => indirect(3, target, *probe_number),
         Message::IndirectPing { origin, probe_number } => indirect(4, origin, *probe_number),
         Message::IndirectAck { target, probe_number } => indirect(5, target, *probe_number),
@@ -302,19 +314,19 @@
     }
 }
 
-/// Reads the head of a SWIM message.
+/// Reads the header of a SWIM message.
 pub fn read_header(input: &mut &[u8]) -> ModalResult<Header<Identity>> {
     let (src, src_incarnation, dst) = (read_identity, be_u16, read_identity).parse_next(input)?;
     let message = match u8.parse_next(input)? {
         1 => u8.map(Message::Ping).parse_next(input)?,
         2 => u8.map(Message::Ack).parse_next(input)?,
         code @ 3..=6 => {
-            let (who, probe_number) = (read_identity, u8).parse_next(input)?;
+            let (identity, probe_number) = (read_identity, u8).parse_next(input)?;
             match code {
-                3 => Message::PingReq { target: who, probe_number },
-                4 => Message::IndirectPing { origin: who, probe_number },
-                5 => Message::IndirectAck { target: who, probe_number },
-                _ => Message::ForwardedAck { origin: who, probe_number },
+                3 => Message::PingReq { target: identity, probe_number },
+                4 => Message::IndirectPing { origin: identity, probe_number },
+                5 => Message::IndirectAck { target: identity, probe_number },
+                _ => Message::ForwardedAck { origin: identity, probe_number },
             }
         }
         7 => Message::Announce,
@@ -327,154 +339,154 @@
     Ok(Header { src, src_incarnation, dst, message })
 }
 
-/// Writes a SWIM message with the entries that it carries.
-pub fn swim(head: &Header<Identity>, entries: &[Member<Identity>]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(DATAGRAM_MOST);
-    header(&mut bytes, head);
+/// Encodes a SWIM message with its membership entries.
+pub fn encode_swim(header: &Header<Identity>, entries: &[Member<Identity>]) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
+    put_header(&mut bytes, header);
     if !entries.is_empty() {
         bytes.put_u16(entries.len() as u16);
-        entries.iter().for_each(|e| member(&mut bytes, e));
+        entries.iter().for_each(|e| put_member(&mut bytes, e));
     }
     bytes
 }
 
-/// Reads a whole SWIM message. No other data is carried along.
-pub fn read_swim(mut input: &[u8]) -> Result<(Header<Identity>, Vec<Member<Identity>>), Refused> {
-    let head = read_header.parse_next(&mut input).map_err(|_| Refused::Torn)?;
+/// Decodes a complete SWIM message. Bytes after the entries are an error.
+pub fn decode_swim(mut input: &[u8]) -> Result<(Header<Identity>, Vec<Member<Identity>>), DropReason> {
+    let header = read_header.parse_next(&mut input).map_err(|_| DropReason::Corrupt)?;
     let entries = if input.is_empty() { Vec::new() } else { read_entries(&mut input)? };
-    Some((head, entries)).filter(|_| input.is_empty()).ok_or(Refused::Torn)
+    Some((header, entries)).filter(|_| input.is_empty()).ok_or(DropReason::Corrupt)
 }
 
-/// Writes so many entries as fit into `room` bytes; gives the body and how many were taken.
-pub fn entries(of: &[Member<Identity>], room: usize) -> (Vec<u8>, usize) {
-    let (mut bytes, mut taken) = (vec![0, 0], 0);
-    for entry in of {
-        if bytes.len() + member_bytes(entry) > room {
+/// Encodes as many entries as fit into `room` bytes. Returns the body and the number of entries in it.
+pub fn encode_entries(entries: &[Member<Identity>], room: usize) -> (Vec<u8>, usize) {
+    let (mut bytes, mut count) = (vec![0, 0], 0);
+    for entry in entries {
+        if bytes.len() + member_len(entry) > room {
             break;
         }
-        member(&mut bytes, entry);
-        taken += 1;
+        put_member(&mut bytes, entry);
+        count += 1;
     }
-    bytes[..2].copy_from_slice(&(taken as u16).to_be_bytes());
-    (bytes, taken)
+    bytes[..2].copy_from_slice(&(count as u16).to_be_bytes());
+    (bytes, count)
 }
 
-/// Reads entries; the count is not trusted.
-pub fn read_entries(input: &mut &[u8]) -> Result<Vec<Member<Identity>>, Refused> {
-    let count = be_u16.parse_next(input).map_err(|_: Fault| Refused::Torn)?;
+/// Reads entries. Memory is allocated only for entries that are present, whatever the count field says.
+pub fn read_entries(input: &mut &[u8]) -> Result<Vec<Member<Identity>>, DropReason> {
+    let count = be_u16.parse_next(input).map_err(|_: ParseError| DropReason::Corrupt)?;
     let mut entries = Vec::new();
     for _ in 0..count {
-        entries.push(read_member.parse_next(input).map_err(|_| Refused::Torn)?);
+        entries.push(read_member.parse_next(input).map_err(|_| DropReason::Corrupt)?);
     }
     Ok(entries)
 }
 
-/// One member's facts, as they travel.
+/// The facts of one member, as sent between members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Whose.
+    /// The address of the member.
     pub address: SocketAddr,
-    /// Of which of its lives.
+    /// The generation of the member that stated the facts.
     pub generation: u64,
-    /// Counted up by the owner alone.
+    /// Version of the facts. Only the member itself increments it.
     pub version: u32,
-    /// How long ago the owner stated them, in milliseconds, by the clocks of those that passed them on.
+    /// Time since the member stated the facts, in milliseconds, as measured by the members that forwarded them.
     pub age_ms: u32,
-    /// The facts: tag, length, value, and so on. Unknown tags are kept.
+    /// The facts as a sequence of tag, length and value. Unknown tags are preserved.
     pub facts: Arc<[u8]>,
 }
 
 /// Writes a record.
-pub fn record(bytes: &mut impl BufMut, of: &Record) {
-    address(bytes, of.address);
-    bytes.put_u64(of.generation);
-    bytes.put_u32(of.version);
-    bytes.put_u32(of.age_ms);
-    bytes.put_u8(of.facts.len() as u8);
-    bytes.put_slice(&of.facts);
+pub fn put_record(bytes: &mut impl BufMut, record: &Record) {
+    put_address(bytes, record.address);
+    bytes.put_u64(record.generation);
+    bytes.put_u32(record.version);
+    bytes.put_u32(record.age_ms);
+    bytes.put_u8(record.facts.len() as u8);
+    bytes.put_slice(&record.facts);
 }
 
-/// Bytes that a record takes.
-pub fn record_bytes(of: &Record) -> usize {
-    let address = if of.address.is_ipv4() { 7 } else { 19 };
-    address + 17 + of.facts.len()
+/// Encoded length of a record.
+pub fn record_len(record: &Record) -> usize {
+    let address_len = if record.address.is_ipv4() { 7 } else { 19 };
+    address_len + 17 + record.facts.len()
 }
 
-/// Reads records up to the end.
-pub fn read_records(mut input: &[u8]) -> Result<Vec<Record>, Refused> {
+/// Reads records until the end of the input.
+pub fn read_records(mut input: &[u8]) -> Result<Vec<Record>, DropReason> {
     let mut records = Vec::new();
     while !input.is_empty() {
-        let facts = length_take(u8).verify(|f: &[u8]| f.len() <= FACTS_MOST);
+        let facts = length_take(u8).verify(|f: &[u8]| f.len() <= MAX_FACTS_BYTES);
         let mut parts = (read_address, be_u64, be_u32, be_u32, facts);
         let read: ModalResult<_> = parts.parse_next(&mut input);
-        let (address, generation, version, age_ms, facts) = read.map_err(|_| Refused::Torn)?;
+        let (address, generation, version, age_ms, facts) = read.map_err(|_| DropReason::Corrupt)?;
         records.push(Record { address, generation, version, age_ms, facts: facts.into() });
     }
     Ok(records)
 }
 
-/// Reads numbers of a fixed form: all of the body, or nothing.
-pub fn read_numbers<const N: usize>(mut input: &[u8]) -> Result<[u64; N], Refused> {
+/// Reads `N` 64-bit integers from the start of a body.
+pub fn read_numbers<const N: usize>(mut input: &[u8]) -> Result<[u64; N], DropReason> {
     let mut numbers = [0; N];
     for number in &mut numbers {
-        *number = be_u64.parse_next(&mut input).map_err(|_: Fault| Refused::Torn)?;
+        *number = be_u64.parse_next(&mut input).map_err(|_: ParseError| DropReason::Corrupt)?;
     }
     Ok(numbers)
 }
 
-/// The form for the library that does the protocol.
+/// The codec of this format for the SWIM library.
 #[derive(Clone, Copy, Debug)]
-pub struct Form;
+pub struct WireCodec;
 
-/// An entry does not fit, or cannot be read.
+/// An entry does not fit into the buffer, or the input cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unfit;
+pub struct CodecError;
 
-impl fmt::Display for Unfit {
+impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("does not fit or cannot be read")
+        f.write_str("membership entry does not fit or cannot be decoded")
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for CodecError {}
 
-fn put(mut to: impl BufMut, bytes: &[u8]) -> Result<(), Unfit> {
+fn write_all(mut to: impl BufMut, bytes: &[u8]) -> Result<(), CodecError> {
     if to.remaining_mut() < bytes.len() {
-        return Err(Unfit);
+        return Err(CodecError);
     }
     to.put_slice(bytes);
     Ok(())
 }
 
-fn get<T>(mut from: impl Buf, read: impl Fn(&mut &[u8]) -> ModalResult<T>) -> Result<T, Unfit> {
-    let mut rest = from.chunk();
+fn decode_with<T>(mut input: impl Buf, read: impl Fn(&mut &[u8]) -> ModalResult<T>) -> Result<T, CodecError> {
+    let mut rest = input.chunk();
     let whole = rest.len();
-    let value = read(&mut rest).map_err(|_| Unfit)?;
-    let taken = whole - rest.len();
-    from.advance(taken);
+    let value = read(&mut rest).map_err(|_| CodecError)?;
+    let consumed = whole - rest.len();
+    input.advance(consumed);
     Ok(value)
 }
 
-impl Codec<Identity> for Form {
-    type Error = Unfit;
+impl Codec<Identity> for WireCodec {
+    type Error = CodecError;
 
-    fn encode_header(&mut self, of: &Header<Identity>, to: impl BufMut) -> Result<(), Unfit> {
+    fn encode_header(&mut self, header: &Header<Identity>, to: impl BufMut) -> Result<(), CodecError> {
         let mut bytes = Vec::with_capacity(256);
-        header(&mut bytes, of);
-        put(to, &bytes)
+        put_header(&mut bytes, header);
+        write_all(to, &bytes)
     }
 
-    fn decode_header(&mut self, from: impl Buf) -> Result<Header<Identity>, Unfit> {
-        get(from, read_header)
+    fn decode_header(&mut self, from: impl Buf) -> Result<Header<Identity>, CodecError> {
+        decode_with(from, read_header)
     }
 
-    fn encode_member(&mut self, of: &Member<Identity>, to: impl BufMut) -> Result<(), Unfit> {
+    fn encode_member(&mut self, entry: &Member<Identity>, to: impl BufMut) -> Result<(), CodecError> {
         let mut bytes = Vec::with_capacity(64);
-        member(&mut bytes, of);
-        put(to, &bytes)
+        put_member(&mut bytes, entry);
+        write_all(to, &bytes)
     }
 
-    fn decode_member(&mut self, from: impl Buf) -> Result<Member<Identity>, Unfit> {
-        get(from, read_member)
+    fn decode_member(&mut self, from: impl Buf) -> Result<Member<Identity>, CodecError> {
+        decode_with(from, read_member)
     }
 }
