--- a/tests/abandoned_calls.rs
+++ b/tests/abandoned_calls.rs
@@ -6,14 +6,14 @@
 
 #[path = "common/peers.rs"]
 mod peers;
-#[path = "common/script.rs"]
-mod script;
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/scripted_hub.rs"]
+mod scripted_hub;
+#[path = "common/site_config.rs"]
+mod site_config;
 
 use peers::*;
 use petreldock::net::binary::{code, kind};
-use script::*;
+use scripted_hub::*;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::thread::sleep;
@@ -117,9 +117,9 @@
     let cancels = |p: &&mut Party| !stopped && p.abandonment == Some(Abandonment::Cancel);
     for party in parties.iter_mut().filter(cancels) {
         let call = party.call;
-        assert_eq!(status(party.caller.as_mut().expect("connected"), call), 487);
+        assert_eq!(answer_status(party.caller.as_mut().expect("connected"), call), 487);
     }
-    until("the abandonments are in the sockets", || {
+    wait_until("the abandonments are in the sockets", || {
         let table = tcp_table();
         let has_arrived = |p: &Party| {
             !stopped && p.abandonment == Some(Abandonment::Cancel) || p.has_arrived(program, &table)
@@ -166,14 +166,16 @@
 }
 
 fn wait_for_log(program: &Program, what: &str, call: u64, count: usize) {
-    until(&format!("{what} {call:x}, {count} times"), || {
+    wait_until(&format!("{what} {call:x}, {count} times"), || {
         (log_count(program, what, call) >= count).then_some(())
     });
 }
 
 /// Starts the program with its debug log and a changed configuration.
 fn start_program(targets: &[String], change: impl Fn(String) -> String) -> Program {
-    Program::launch(any_address(), targets, None, DEBUG_LOG, 1024, |text| change(unhurried(text)))
+    Program::launch(ephemeral_address(), targets, None, DEBUG_LOG, 1024, |text| {
+        change(with_long_objective(text))
+    })
 }
 
 /// Configures a pause before a further attempt that leaves a test enough time.
@@ -188,21 +190,21 @@
 }
 
 /// Has a hub end a set-up with a release.
-fn release_set_up(hub: &mut ScriptedHub, to: &Sent, cause: u8) {
-    hub.say(to.link, kind::RELEASE, to.call, &[(code::CAUSE, &[cause])]);
+fn release_set_up(hub: &mut ScriptedHub, to: &ReceivedMessage, cause: u8) {
+    hub.send(to.connection, kind::RELEASE, to.call, &[(code::CAUSE, &[cause])]);
 }
 
 /// A call that is set up at a hub before the attempts that the test resets, and answered after they were made.
 struct EarlierCall {
     party: Party,
-    sent: Sent,
+    sent: ReceivedMessage,
 }
 
 impl EarlierCall {
     fn set_up(program: &Program, hub: &mut ScriptedHub, place: i64, call: u64) -> EarlierCall {
         let mut party = Party::connect(program, call, None);
         party.invite_to(place);
-        EarlierCall { party, sent: hub.set_up(call, 1) }
+        EarlierCall { party, sent: hub.wait_for_set_up(call, 1) }
     }
 
     /// Has its hub answer the call, so that the program does not take the following resets for a dead hub and makes
@@ -213,7 +215,7 @@
     fn answer(&mut self, program: &Program, hub: &mut ScriptedHub) {
         hub.answer(&self.sent);
         let call = self.party.call;
-        assert_eq!(status(self.party.caller.as_mut().expect("connected"), call), 200);
+        assert_eq!(answer_status(self.party.caller.as_mut().expect("connected"), call), 200);
         wait_for_log(program, "call answered", call, 1);
     }
 }
@@ -223,8 +225,8 @@
 /// second one and end with that.
 fn close_hub_connections(program: &Program, hub: &mut ScriptedHub) {
     program.pause();
-    (0..hub.links.len()).for_each(|link| hub.break_connection(link));
-    program.go_on();
+    (0..hub.connections.len()).for_each(|link| hub.break_connection(link));
+    program.resume();
 }
 
 /// Sets up a call of a new caller, which shows that the program has continued and makes attempts again.
@@ -237,14 +239,14 @@
 
 /// Number of set-ups of a call at all hubs.
 fn count_set_ups(hubs: &mut [ScriptedHub], call: u64) -> usize {
-    hubs.iter_mut().map(|hub| hub.set_ups(call)).sum()
+    hubs.iter_mut().map(|hub| hub.set_up_count(call)).sum()
 }
 
 /// Waits for the `count`-th set-up of a call at any of the hubs, and returns the hub's index and the set-up.
-fn wait_for_set_up(hubs: &mut [ScriptedHub], call: u64, count: usize) -> (usize, Sent) {
-    until(&format!("set-up {count} of {call:x}"), || {
-        hubs.iter_mut().for_each(ScriptedHub::take_in);
-        let all = hubs.iter().enumerate().flat_map(|(n, hub)| hub.sent.iter().map(move |s| (n, s)));
+fn wait_for_set_up(hubs: &mut [ScriptedHub], call: u64, count: usize) -> (usize, ReceivedMessage) {
+    wait_until(&format!("set-up {count} of {call:x}"), || {
+        hubs.iter_mut().for_each(ScriptedHub::receive);
+        let all = hubs.iter().enumerate().flat_map(|(n, hub)| hub.received.iter().map(move |s| (n, s)));
         let mut of_call = all.filter(|(_, s)| s.kind == kind::SET_UP && s.call == call);
         of_call.nth(count - 1).map(|(n, sent)| (n, sent.clone()))
     })
@@ -320,7 +322,7 @@
         for party in &mut all {
             let caller = party.caller.as_mut().expect("connected");
             caller.send("OPTIONS", 0, "", b"");
-            assert_eq!(status(caller, 0), 200);
+            assert_eq!(answer_status(caller, 0), 200);
         }
         program.pause();
         if !accepted {
@@ -328,7 +330,7 @@
         }
         all.iter_mut().for_each(Party::invite);
         abandon_while_stopped(&program, &mut all, EventOrder::CallersFirst, |_| {});
-        program.go_on();
+        program.resume();
         assert_no_attempt_for_abandoned_calls(&mut hubs, &all, 0, &format!("accepted {accepted}"));
     }
 }
@@ -343,7 +345,7 @@
     let mut party = Party::connect(&program, 0, Some(abandonment));
     let caller = party.caller.as_mut().expect("connected");
     caller.send("OPTIONS", 0, "", b"");
-    assert_eq!(status(caller, 0), 200);
+    assert_eq!(answer_status(caller, 0), 200);
     // No more than the socket buffers hold, so that the caller can still abandon the calls after them.
     let count = if body > 0 { 12 } else { PIPELINED_SET_UPS };
     let more = format!(
@@ -358,7 +360,7 @@
     let caller = party.caller.as_mut().expect("connected");
     caller.stream.write_all(&all).expect("written");
     let size = all.len();
-    until("all set-ups are in the socket", || {
+    wait_until("all set-ups are in the socket", || {
         let (_, unread) = socket_state(&tcp_table(), program.address, party.address)?;
         (unread == size).then_some(())
     });
@@ -366,10 +368,10 @@
         abandon_calls(&program, std::slice::from_mut(&mut party), true);
     }
     sleep(DETECTION_TIME);
-    program.go_on();
+    program.resume();
     let _marker = set_up_marker_call(&program, &mut hubs, 0x9000);
     sleep(DETECTION_TIME);
-    let sent = (1..=count).filter(|call| hubs[0].set_ups(*call) > 0).count();
+    let sent = (1..=count).filter(|call| hubs[0].set_up_count(*call) > 0).count();
     assert_eq!(
         sent, 0,
         "{abandonment:?}: how many of {count} abandoned set-ups of {body} bytes reached the hub"
@@ -399,16 +401,16 @@
 // ---- attempts that end while their calls are abandoned ----
 
 /// A way for a hub to end an attempt so that a further one is made.
-type EndAttempt = fn(&mut ScriptedHub, &Sent);
+type EndAttempt = fn(&mut ScriptedHub, &ReceivedMessage);
 
 /// Refuses the set-up because the hub is full: it never ran, and another hub is tried at once.
-fn refuse_as_full(hub: &mut ScriptedHub, to: &Sent) {
+fn refuse_as_full(hub: &mut ScriptedHub, to: &ReceivedMessage) {
     release_set_up(hub, to, 34);
 }
 
 /// Closes the connection of the set-up: it may have run, and a further attempt follows after the pause.
-fn close_connection(hub: &mut ScriptedHub, to: &Sent) {
-    hub.break_connection(to.link);
+fn close_connection(hub: &mut ScriptedHub, to: &ReceivedMessage) {
+    hub.break_connection(to.connection);
 }
 
 /// Ends attempts at hubs while their callers abandon the calls and the program is stopped.
@@ -422,11 +424,12 @@
         let mut earlier: Vec<EarlierCall> = earlier.collect();
         let mut all = connect_parties(&program, 0x1000 * (round as u64 + 1));
         all.iter_mut().for_each(Party::invite);
-        let at: Vec<(usize, Sent)> = all.iter().map(|p| wait_for_set_up(&mut hubs, p.call, 1)).collect();
+        let at: Vec<(usize, ReceivedMessage)> =
+            all.iter().map(|p| wait_for_set_up(&mut hubs, p.call, 1)).collect();
         earlier.iter_mut().zip(&mut hubs).for_each(|(earlier, hub)| earlier.answer(&program, hub));
         program.pause();
         abandon_while_stopped(&program, &mut all, order, |n| end(&mut hubs[at[n].0], &at[n].1));
-        program.go_on();
+        program.resume();
         assert_no_attempt_for_abandoned_calls(&mut hubs, &all, 1, &format!("{what}, {order:?}"));
     }
 }
@@ -454,7 +457,8 @@
         let calls = first..first + PIPELINED_SET_UPS;
         let caller = party.caller.as_mut().expect("connected");
         calls.clone().for_each(|call| caller.invite(call, ANSWER_WITHIN_MS, 0));
-        let at: Vec<(usize, Sent)> = calls.clone().map(|call| wait_for_set_up(&mut hubs, call, 1)).collect();
+        let at: Vec<(usize, ReceivedMessage)> =
+            calls.clone().map(|call| wait_for_set_up(&mut hubs, call, 1)).collect();
         program.pause();
         let mut refuse_all = || at.iter().for_each(|(n, sent)| release_set_up(&mut hubs[*n], sent, 34));
         if order == EventOrder::HubFirst {
@@ -466,7 +470,7 @@
         }
         wait_until_abandoned(&program, std::slice::from_mut(&mut party), true);
         sleep(DETECTION_TIME);
-        program.go_on();
+        program.resume();
         let _marker = set_up_marker_call(&program, &mut hubs, first - 1);
         sleep(DETECTION_TIME);
         let sent = calls.filter(|call| count_set_ups(&mut hubs, *call) > 1).count();
@@ -486,7 +490,7 @@
     let mut earlier = EarlierCall::set_up(&program, &mut hubs[0], 0, 0x9000);
     let mut all = connect_parties(&program, 0x100);
     all.iter_mut().for_each(Party::invite);
-    let at: Vec<Sent> = all.iter().map(|p| hubs[0].set_up(p.call, 1)).collect();
+    let at: Vec<ReceivedMessage> = all.iter().map(|p| hubs[0].wait_for_set_up(p.call, 1)).collect();
     earlier.answer(&program, &mut hubs[0]);
     at.iter().for_each(|sent| close_connection(&mut hubs[0], sent));
     all.iter().for_each(|p| wait_for_log(&program, "attempt ended", p.call, 1));
@@ -505,7 +509,7 @@
     let over = ended + LONG_PAUSE + DETECTION_TIME;
     sleep(over.saturating_duration_since(Instant::now()).max(DETECTION_TIME));
     if stopped {
-        program.go_on();
+        program.resume();
     }
     assert_no_attempt_for_abandoned_calls(&mut hubs, &all, 1, &format!("stopped {stopped}"));
 }
@@ -525,10 +529,10 @@
 /// Waits until the program is connected to a hub whose accept queue was filled by the connections `filling`.
 fn wait_for_dial(hub: &mut ScriptedHub, filling: &[TcpStream]) {
     let own: Vec<SocketAddr> = filling.iter().map(|s| s.local_addr().expect("an address")).collect();
-    let known = hub.links.len();
-    until("the dial succeeds", || {
-        hub.take_in();
-        let new_links = &hub.links[known..];
+    let known = hub.connections.len();
+    wait_until("the dial succeeds", || {
+        hub.receive();
+        let new_links = &hub.connections[known..];
         new_links.iter().any(|l| l.stream.peer_addr().is_ok_and(|a| !own.contains(&a))).then_some(())
     });
 }
@@ -537,16 +541,16 @@
 /// With an order in `stopped`, the program is stopped until the abandonments and the success of the dial are in its
 /// sockets, in that order.
 fn abandon_during_dial(further: bool, stopped: Option<EventOrder>) {
-    let mut hubs = [ScriptedHub::with_short_queue()];
-    let mut filling = if further { Vec::new() } else { hubs[0].fill_queue() };
+    let mut hubs = [ScriptedHub::with_short_accept_queue()];
+    let mut filling = if further { Vec::new() } else { hubs[0].fill_accept_queue() };
     let program = start_program(&[hubs[0].target(0)], with_long_dial_timeout);
     let mut earlier = further.then(|| EarlierCall::set_up(&program, &mut hubs[0], 0, 0x9000));
     let mut all = connect_parties(&program, 0x100);
     all.iter_mut().for_each(Party::invite);
     if let Some(earlier) = &mut earlier {
-        all.iter().for_each(|p| drop(hubs[0].set_up(p.call, 1)));
+        all.iter().for_each(|p| drop(hubs[0].wait_for_set_up(p.call, 1)));
         earlier.answer(&program, &mut hubs[0]);
-        filling = hubs[0].fill_queue();
+        filling = hubs[0].fill_accept_queue();
         close_hub_connections(&program, &mut hubs[0]);
     }
     let before = usize::from(further);
@@ -567,7 +571,7 @@
     }
     if stopped.is_some() {
         sleep(DETECTION_TIME);
-        program.go_on();
+        program.resume();
     }
     let what = format!("further {further}, stopped {stopped:?}");
     assert_no_attempt_for_abandoned_calls(&mut hubs, &all, before, &what);
@@ -600,9 +604,9 @@
 /// Fills the connections of a hub that reads nothing, until several set-ups in a row are assigned to it and do not
 /// begin. Returns their caller and the last call.
 fn fill_connections(program: &Program, hub: &mut ScriptedHub, first: u64) -> (Caller, u64) {
-    until("both connections are up", || {
-        hub.take_in();
-        (hub.links.len() == 2).then_some(())
+    wait_until("both connections are up", || {
+        hub.receive();
+        (hub.connections.len() == 2).then_some(())
     });
     let mut filler = Caller::connect(program.address);
     let body = vec![b'v'; 15 * 1024];
@@ -613,7 +617,7 @@
     while stuck < 4 {
         last += 1;
         // A progress message shows that a connection is alive: otherwise the program would open another one beside it.
-        (0..2).for_each(|link| hub.say(link, PROGRESS, 0, &[]));
+        (0..2).for_each(|link| hub.send(link, PROGRESS, 0, &[]));
         filler.send("INVITE", last, &more, &body);
         wait_for_log(program, "attempt sent", last, 1);
         let end = Instant::now() + Duration::from_millis(200);
@@ -630,14 +634,14 @@
 /// first attempts were refused by another hub, which was full. If `stopped`, the program is stopped meanwhile, and
 /// `order` gives the order of the events that it finds.
 fn abandon_behind_blocked_hub(further: bool, stopped: bool, order: EventOrder) {
-    let mut hubs = [ScriptedHub::narrow(), ScriptedHub::new()];
+    let mut hubs = [ScriptedHub::with_small_receive_buffer(), ScriptedHub::new()];
     let program = start_program(&[hubs[0].target(0), hubs[1].target(1)], |text| text);
     let before = usize::from(further);
     let (filler, last) = fill_connections(&program, &mut hubs[0], 0x4000);
     let mut all = connect_parties(&program, 0x100);
     all.iter_mut().for_each(|party| party.invite_to(i64::from(further)));
     if further {
-        let at: Vec<Sent> = all.iter().map(|p| hubs[1].set_up(p.call, 1)).collect();
+        let at: Vec<ReceivedMessage> = all.iter().map(|p| hubs[1].wait_for_set_up(p.call, 1)).collect();
         at.iter().for_each(|sent| refuse_as_full(&mut hubs[1], sent));
     }
     all.iter().for_each(|p| wait_for_log(&program, "attempt sent", p.call, before + 1));
@@ -648,14 +652,14 @@
         assert_eq!(log_count(&program, "begun", party.call), before, "the set-up waits behind the others");
     }
     if stopped {
-        abandon_while_stopped(&program, &mut all, order, |_| hubs[0].take_in());
-        program.go_on();
+        abandon_while_stopped(&program, &mut all, order, |_| hubs[0].receive());
+        program.resume();
     } else {
         abandon_calls(&program, &mut all, false);
         sleep(DETECTION_TIME);
     }
     let what = format!("further {further}, stopped {stopped}, {order:?}");
-    hubs[0].set_up(last, 1);
+    hubs[0].wait_for_set_up(last, 1);
     assert_no_attempt_for_abandoned_calls(&mut hubs, &all, before, &what);
     drop(filler);
 }
@@ -698,15 +702,15 @@
     for party in &mut all {
         let caller = party.caller.as_mut().expect("connected");
         caller.send("OPTIONS", 0, "", b"");
-        assert_eq!(status(caller, 0), 200);
+        assert_eq!(answer_status(caller, 0), 200);
     }
     program.pause();
     all.iter_mut().for_each(Party::invite);
     sleep(OVER_IDLE_TIMEOUT);
-    program.go_on();
+    program.resume();
     for party in &mut all {
         let (_, sent) = wait_for_set_up(&mut hubs, party.call, 1);
         hubs[0].answer(&sent);
-        assert_eq!(status(party.caller.as_mut().expect("connected"), party.call), 200);
+        assert_eq!(answer_status(party.caller.as_mut().expect("connected"), party.call), 200);
     }
 }
--- a/tests/change_log_poller.rs
+++ b/tests/change_log_poller.rs
@@ -1,7 +1,7 @@
 //! The change log's poller over loopback: stalled and truncated responses, and the event from which it resumes.
 
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/site_config.rs"]
+mod site_config;
 
 use petreldock::core::{Clock, HubListUpdate, Input};
 use petreldock::net::change_log_poller;
@@ -52,7 +52,7 @@
     let (inputs, mut core) = mpsc::channel(16);
     let clock = Clock::system();
     tokio::spawn(change_log_poller::run(addresses, 1, 7, clock, inputs));
-    let event = site::event(2, false, &[site::target("b", "10.0.0.2:1", 1, "in_service")]);
+    let event = site_config::event(2, false, &[site_config::target("b", "10.0.0.2:1", 1, "in_service")]);
     let response = response(&format!(r#"{{"seq":2,"results":[{event}]}}"#));
     let start = Instant::now();
     // The first poll gets no response and the second stalls in the middle of the event; both connections stay open.
@@ -99,7 +99,7 @@
     assert!(!text.contains("timeout=0 "), "later polls request a hold: {text}");
     tokio::time::sleep(Duration::from_millis(400)).await;
     let held_until = clock.now();
-    let event = site::event(2, false, &[site::target("b", "10.0.0.2:1", 1, "terminating")]);
+    let event = site_config::event(2, false, &[site_config::target("b", "10.0.0.2:1", 1, "terminating")]);
     let held_response = response(&format!(r#"{{"seq":2,"results":[{event}]}}"#));
     stream.write_all(held_response.as_bytes()).await.expect("written");
     let input = timeout(TEST_TIMEOUT, core.recv()).await.expect("an input in time");
--- a/tests/common/iax2_peers.rs
+++ b/tests/common/iax2_peers.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for IAX2 peers (RFC 5456): a hub, and desk equipment that places calls.
+//! Simulated IAX2 peers (RFC 5456): a hub, and desk equipment that places calls.
 
-use crate::peers::{Manner, Record, Seen};
+use crate::peers::{HubBehavior, HubEvent, HubRecord};
 use petreldock::core::Cause;
 use petreldock::iax2::cause::{elements, Ending};
 use petreldock::iax2::frame::{self, control, element, iax, kind, put, Elements, Frame};
@@ -13,65 +13,74 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn socket() -> UdpSocket {
+/// Binds a free port, with a short read timeout.
+fn bind_socket() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(Duration::from_millis(5))).expect("set");
     socket
 }
 
-fn micros(start: Instant) -> Micros {
+/// Returns the time since `start`.
+fn elapsed_since(start: Instant) -> Micros {
     Micros(start.elapsed().as_micros() as u64)
 }
 
-/// A hub that treats NEWs in its manner, and says voice back that it hears.
+/// A simulated hub that responds to NEW frames as configured and echoes voice frames.
 pub struct Iax2Hub {
+    /// Address on which it listens.
     pub address: SocketAddr,
-    pub manner: Arc<Mutex<Manner>>,
+    /// How it responds to set-ups from now on.
+    pub behavior: Arc<Mutex<HubBehavior>>,
     ended: Arc<AtomicBool>,
 }
 
-struct Taken {
+/// A call at the hub.
+struct HubCall {
     session: Session,
+    /// The number called.
     number: u64,
+    /// When it is to be answered, if it is.
     answer_at: Option<Micros>,
-    over: bool,
+    /// Whether either side has ended it.
+    is_over: bool,
 }
 
 impl Iax2Hub {
-    pub fn start(hub: usize, manner: Manner, record: &Record) -> Iax2Hub {
-        let socket = socket();
+    /// Starts a hub; `hub` is its number in the record.
+    pub fn start(hub: usize, behavior: HubBehavior, record: &HubRecord) -> Iax2Hub {
+        let socket = bind_socket();
         let address = socket.local_addr().expect("an address");
-        let (manner, ended) = (Arc::new(Mutex::new(manner)), Arc::new(AtomicBool::new(false)));
-        let started = Iax2Hub { address, manner: manner.clone(), ended: ended.clone() };
+        let (behavior, ended) = (Arc::new(Mutex::new(behavior)), Arc::new(AtomicBool::new(false)));
+        let started = Iax2Hub { address, behavior: behavior.clone(), ended: ended.clone() };
         let record = record.clone();
         thread::spawn(move || {
-            let (start, mut calls) = (Instant::now(), HashMap::<u16, Taken>::new());
-            let (mut bytes, mut next) = ([0; 4096], 100);
+            let (start, mut calls) = (Instant::now(), HashMap::<u16, HubCall>::new());
+            let (mut bytes, mut next_number) = ([0; 4096], 100);
             while !ended.load(Ordering::Relaxed) {
                 let read = socket.recv_from(&mut bytes);
-                let now = micros(start);
+                let now = elapsed_since(start);
                 let mut out = Vec::new();
                 if let Ok((length, from)) = &read {
                     if let Some(Frame::Full(full)) = frame::parse(&bytes[..*length]) {
-                        let fresh = full.is(iax::NEW) && !calls.contains_key(&full.source);
-                        if fresh {
-                            next += 1;
-                            let taken = Taken {
-                                session: Session::new(next, full.source, now),
+                        let is_new = full.is(iax::NEW) && !calls.contains_key(&full.source);
+                        if is_new {
+                            next_number += 1;
+                            let call = HubCall {
+                                session: Session::new(next_number, full.source, now),
                                 number: 0,
                                 answer_at: None,
-                                over: false,
+                                is_over: false,
                             };
-                            calls.insert(full.source, taken);
+                            calls.insert(full.source, call);
                         }
                         if let Some(call) = calls.get_mut(&full.source) {
-                            hear(
+                            handle_frame(
                                 call,
                                 &full,
-                                fresh,
+                                is_new,
                                 now,
                                 hub,
-                                *manner.lock().expect("lock"),
+                                *behavior.lock().expect("lock"),
                                 &record,
                                 &mut out,
                             );
@@ -80,14 +89,19 @@
                     for datagram in out.drain(..) {
                         let _ = socket.send_to(&datagram, from);
                     }
-                    // The program talks from one address.
+                    // The program sends everything from a single address.
                     socket.connect(from).expect("connected");
                 }
                 for call in calls.values_mut() {
                     let _ = call.session.tick(now, &mut out);
-                    if call.answer_at.is_some_and(|at| now >= at) && !call.over {
+                    if call.answer_at.is_some_and(|at| now >= at) && !call.is_over {
                         call.answer_at = None;
-                        record.lock().expect("lock").push((Instant::now(), call.number, hub, Seen::Answered));
+                        record.lock().expect("lock").push((
+                            Instant::now(),
+                            call.number,
+                            hub,
+                            HubEvent::Answered,
+                        ));
                         out.extend(call.session.send(
                             now,
                             kind::IAX,
@@ -105,8 +119,9 @@
         started
     }
 
-    pub fn set(&self, manner: Manner) {
-        *self.manner.lock().expect("lock") = manner;
+    /// Sets how it responds to set-ups from now on.
+    pub fn set_behavior(&self, behavior: HubBehavior) {
+        *self.behavior.lock().expect("lock") = behavior;
     }
 }
 
@@ -116,87 +131,94 @@
     }
 }
 
+/// Handles a full frame of a call; `is_new` marks the first NEW of the call.
 #[allow(clippy::too_many_arguments)]
-fn hear(
-    call: &mut Taken,
+fn handle_frame(
+    call: &mut HubCall,
     full: &frame::Full,
-    fresh: bool,
+    is_new: bool,
     now: Micros,
     hub: usize,
-    manner: Manner,
-    record: &Record,
+    behavior: HubBehavior,
+    record: &HubRecord,
     out: &mut Vec<Vec<u8>>,
 ) {
-    let note = |number, seen| record.lock().expect("lock").push((Instant::now(), number, hub, seen));
+    let record_event =
+        |number, event| record.lock().expect("lock").push((Instant::now(), number, hub, event));
     if call.session.receive(now, full, out) != Verdict::Next {
         return;
     }
-    let read = Elements::parse(full.data).unwrap_or_default();
+    let parsed = Elements::parse(full.data).unwrap_or_default();
     match (full.kind, full.subclass) {
-        (kind::IAX, iax::NEW) if fresh => {
-            assert_eq!(read.number(element::VERSION), Some(2));
-            let number = read.text(element::CALLED_NUMBER).and_then(|n| u64::from_str_radix(n, 16).ok());
+        (kind::IAX, iax::NEW) if is_new => {
+            assert_eq!(parsed.number(element::VERSION), Some(2));
+            let number = parsed.text(element::CALLED_NUMBER).and_then(|n| u64::from_str_radix(n, 16).ok());
             call.number = number.expect("a number in hex digits");
-            note(call.number, Seen::SetUp);
-            let mut end = |seen, subclass, cause| {
-                note(call.number, seen);
-                call.over = true;
+            record_event(call.number, HubEvent::SetUp);
+            let mut end_call = |event, subclass, cause| {
+                record_event(call.number, event);
+                call.is_over = true;
                 let data = elements(Ending::Released(Cause(cause)));
                 out.extend(call.session.send(now, kind::IAX, subclass, &data));
             };
-            match manner {
-                Manner::Answer => call.answer_at = Some(now),
-                Manner::AnswerAfter(wait) => call.answer_at = Some(now + Micros(wait.as_micros() as u64)),
-                Manner::Full => end(Seen::Refused, iax::REJECT, 42),
-                Manner::Reset => end(Seen::Reset, iax::HANGUP, 41),
-                Manner::Silent => {}
+            match behavior {
+                HubBehavior::Answer => call.answer_at = Some(now),
+                HubBehavior::AnswerAfter(wait) => {
+                    call.answer_at = Some(now + Micros(wait.as_micros() as u64))
+                }
+                HubBehavior::Full => end_call(HubEvent::Refused, iax::REJECT, 42),
+                HubBehavior::Reset => end_call(HubEvent::Reset, iax::HANGUP, 41),
+                HubBehavior::Silent => {}
             }
         }
-        (kind::IAX, iax::HANGUP) if !call.over => {
-            call.over = true;
-            let cause = read.number(element::CAUSECODE).unwrap_or(0);
-            note(call.number, Seen::Release(cause as u8));
+        (kind::IAX, iax::HANGUP) if !call.is_over => {
+            call.is_over = true;
+            let cause = parsed.number(element::CAUSECODE).unwrap_or(0);
+            record_event(call.number, HubEvent::Release(cause as u8));
         }
         (kind::VOICE, format) => out.extend(call.session.send(now, kind::VOICE, format, full.data)),
         _ => {}
     }
 }
 
-/// What desk equipment saw of one of its calls.
+/// A line of desk equipment, with what was received on it.
 #[derive(Clone, Debug, Default)]
 pub struct Line {
-    /// Final answers: `None` an ANSWER, else the code of a REJECT or a HANGUP before any answer.
+    /// Final answers: `None` for an ANSWER, else the cause of a REJECT or of a HANGUP before any answer.
     pub answers: Vec<Option<u32>>,
-    /// Voice that came back.
+    /// Payloads of the voice frames received.
     pub voice: Vec<Vec<u8>>,
-    /// The cause of the HANGUP after the answer.
+    /// Cause of the HANGUP after the answer.
     pub released: Option<u32>,
 }
 
-/// Desk equipment with many lines on one socket.
-pub struct Phones {
+/// Desk equipment with several lines on one socket. Each line is identified by its source call number.
+pub struct DeskEquipment {
     socket: UdpSocket,
     start: Instant,
     lines: HashMap<u16, (Session, Line)>,
 }
 
-impl Phones {
-    pub fn connect(front: SocketAddr) -> Phones {
-        let socket = socket();
+impl DeskEquipment {
+    /// Binds a socket for calls to `front`.
+    pub fn connect(front: SocketAddr) -> DeskEquipment {
+        let socket = bind_socket();
         socket.connect(front).expect("connected");
-        Phones { socket, start: Instant::now(), lines: HashMap::new() }
+        DeskEquipment { socket, start: Instant::now(), lines: HashMap::new() }
     }
 
+    /// Sends a full frame on a line.
     fn send(&mut self, line: u16, kind: u8, subclass: u32, data: &[u8]) {
-        let now = micros(self.start);
+        let now = elapsed_since(self.start);
         let session = &mut self.lines.get_mut(&line).expect("a line").0;
         if let Some(datagram) = session.send(now, kind, subclass, data) {
             let _ = self.socket.send(&datagram);
         }
     }
 
+    /// Starts a call with a NEW.
     pub fn dial(&mut self, line: u16, number: u64) {
-        let session = Session::new(line, 0, micros(self.start));
+        let session = Session::new(line, 0, elapsed_since(self.start));
         self.lines.insert(line, (session, Line::default()));
         let mut data = Vec::new();
         put(&mut data, element::VERSION, &[0, 2]);
@@ -205,31 +227,34 @@
         self.send(line, kind::IAX, iax::NEW, &data);
     }
 
+    /// Sends a HANGUP with normal clearing.
     pub fn hang_up(&mut self, line: u16) {
         self.send(line, kind::IAX, iax::HANGUP, &elements(Ending::Released(Cause(16))));
     }
 
-    pub fn speak(&mut self, line: u16, voice: &[u8]) {
+    /// Sends a voice frame.
+    pub fn send_voice(&mut self, line: u16, voice: &[u8]) {
         self.send(line, kind::VOICE, 4, voice);
     }
 
+    /// Returns the state of a line.
     pub fn line(&self, line: u16) -> &Line {
         &self.lines[&line].1
     }
 
-    /// Takes in what came, and keeps the transport going, for a while.
-    pub fn drive(&mut self, span: Duration) {
-        let end = Instant::now() + span;
+    /// Receives frames, acknowledges them and retransmits as needed, for the given time.
+    pub fn run_for(&mut self, duration: Duration) {
+        let end = Instant::now() + duration;
         let mut bytes = [0; 4096];
         while Instant::now() < end {
             let mut out = Vec::new();
             let read = self.socket.recv(&mut bytes);
-            let now = micros(self.start);
+            let now = elapsed_since(self.start);
             if let Some(Frame::Full(full)) = read.ok().and_then(|length| frame::parse(&bytes[..length])) {
                 if let Some((session, line)) = self.lines.get_mut(&full.destination) {
                     if session.receive(now, &full, &mut out) == Verdict::Next {
-                        let read = Elements::parse(full.data).unwrap_or_default();
-                        let code = read.number(element::CAUSECODE);
+                        let parsed = Elements::parse(full.data).unwrap_or_default();
+                        let code = parsed.number(element::CAUSECODE);
                         match (full.kind, full.subclass) {
                             (kind::CONTROL, control::ANSWER) => line.answers.push(None),
                             (kind::IAX, iax::REJECT) => line.answers.push(Some(code.unwrap_or(0))),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,8 @@
-//! Settings and calls that several tests use.
+//! Settings and calls shared by tests of the routing rules.
 
 use petreldock::interface::*;
 
+/// Returns settings with two classes that differ only in their worth.
 pub fn settings() -> Settings {
     let class = Class {
         objective: Micros(1_000_000),
@@ -32,6 +33,7 @@
     }
 }
 
+/// Returns a call of class 0 without a number and with a deadline of 0.
 pub fn new_call(id: u64, place: i64) -> NewCall {
     NewCall {
         id: CallId(id),
--- a/tests/common/peers.rs
+++ b/tests/common/peers.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the started program's peers, by the public specifications: SIP callers, table hubs,
-//! the change log. Each keeps a record of what it saw.
+//! The program as a process, and its simulated peers: SIP callers, table hubs and the change log. Each peer records what
+//! it receives.
 #![allow(dead_code)]
 
 use petreldock::net::binary::{self, code, kind};
@@ -13,82 +13,92 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::site;
+use crate::site_config;
 
-/// Generous, so that a slow machine gives the same verdict.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for anything a test waits for; long enough that a slow machine does not fail the test.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits till something holds.
-pub fn until<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+/// Polls `check` until it returns a value.
+///
+/// # Panics
+/// If there is no value within [`WAIT_TIMEOUT`].
+pub fn wait_until<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = found() {
+        if let Some(found) = check() {
             return found;
         }
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(Instant::now() < end, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A loopback address whose port the system chooses once it is bound. Danger: a port that was free when it was
-/// asked for may be taken when a process binds it.
-pub fn any_address() -> SocketAddr {
+/// Returns a loopback address with port 0, so that the system chooses the port on bind. A free port chosen earlier could
+/// be taken by the time a process binds it.
+pub fn ephemeral_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// An address that is kept as long as this lives: it is bound, and connections to it are refused, until a process
-/// that reuses addresses, as the program does, listens there.
+/// A reserved address: it is bound, and refuses connections, until a process that sets `SO_REUSEADDR`, as the program
+/// does, listens on it.
 pub struct ReservedAddress {
     _socket: tokio::net::TcpSocket,
+    /// The reserved address.
     pub address: SocketAddr,
 }
 
 impl ReservedAddress {
+    /// Reserves a free port.
     pub fn bind() -> ReservedAddress {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.set_reuseaddr(true).expect("set");
-        socket.bind(any_address()).expect("bound");
+        socket.bind(ephemeral_address()).expect("bound");
         let address = socket.local_addr().expect("an address");
         ReservedAddress { _socket: socket, address }
     }
 }
 
-/// The started program; it is killed when it goes out of scope.
+/// A process of the program; it is killed on drop.
 pub struct Program {
+    /// The process.
     pub child: Child,
+    /// Address on which it serves callers.
     pub address: SocketAddr,
     folder: std::path::PathBuf,
 }
 
-static PROGRAMS: AtomicU64 = AtomicU64::new(0);
+/// Number of the next process, for the name of its folder.
+static NEXT_PROGRAM: AtomicU64 = AtomicU64::new(0);
 
 impl Program {
-    /// Starts the program and waits till it passes its test.
+    /// Starts the program and waits until it answers an OPTIONS with 200.
     pub fn start(targets: &[String], change_log: Option<SocketAddr>, operator: Option<&str>) -> Program {
-        Program::start_with(targets, change_log, operator, (1024, 1024))
+        Program::start_with_socket_limits(targets, change_log, operator, (1024, 1024))
     }
 
-    /// The same with so many descriptors, and so many promised by the configuration.
-    pub fn start_with(
+    /// Like [`Program::start`], with a limit of file descriptors for the process and a value of `limits.sockets` in its
+    /// configuration.
+    pub fn start_with_socket_limits(
         targets: &[String],
         change_log: Option<SocketAddr>,
         operator: Option<&str>,
-        (descriptors, promised): (u32, u32),
+        (descriptors, configured): (u32, u32),
     ) -> Program {
-        let promise = |text: String| text.replace("\"sockets\":1024", &format!("\"sockets\":{promised}"));
-        Program::launch(any_address(), targets, change_log, operator, descriptors, promise)
+        let set_limit = |text: String| text.replace("\"sockets\":1024", &format!("\"sockets\":{configured}"));
+        Program::launch(ephemeral_address(), targets, change_log, operator, descriptors, set_limit)
     }
 
-    /// Starts it with a configuration that is changed first.
-    pub fn changed(
+    /// Like [`Program::start`], with the configuration altered by `change`.
+    pub fn start_with_config(
         targets: &[String],
         change_log: Option<SocketAddr>,
         change: impl Fn(String) -> String,
     ) -> Program {
-        Program::launch(any_address(), targets, change_log, None, 1024, change)
+        Program::launch(ephemeral_address(), targets, change_log, None, 1024, change)
     }
 
-    /// Starts it at an address, with so many descriptors, and waits till it passes its test.
+    /// Starts the program at an address, with a limit of file descriptors and an altered configuration, and waits until it
+    /// answers an OPTIONS with 200.
     pub fn launch(
         address: SocketAddr,
         targets: &[String],
@@ -97,11 +107,11 @@
         descriptors: u32,
         change: impl Fn(String) -> String,
     ) -> Program {
-        let number = PROGRAMS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_PROGRAM.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("petreldock-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let log = change_log.map(|a| a.to_string());
-        let text = change(site::document(&address.to_string(), log.as_deref(), targets));
+        let text = change(site_config::document(&address.to_string(), log.as_deref(), targets));
         std::fs::write(folder.join("config.json"), text).expect("written");
         let mut command = Command::new("sh");
         command.arg("-c").arg(format!("ulimit -n {descriptors}; exec \"$0\""));
@@ -115,10 +125,10 @@
         }
         let mut program = Program { child: command.spawn().expect("it starts"), address, folder };
         if address.port() == 0 {
-            program.address = until("the program says where it serves", || program.served_address());
+            program.address = wait_until("the address in the program's log", || program.served_address());
         }
         let address = program.address;
-        until("the program passes its test", || {
+        wait_until("an answer to OPTIONS with 200", || {
             let mut caller = Caller::try_connect(address)?;
             caller.send("OPTIONS", 0, "", b"");
             caller.answer(0).filter(|(status, ..)| *status == 200)
@@ -126,50 +136,50 @@
         program
     }
 
-    /// Where it serves, by its log.
+    /// Returns the address on which it serves, from its log.
     fn served_address(&self) -> Option<SocketAddr> {
         let log = self.log();
         let address = log.split("serving at ").nth(1)?;
         address.split(|c: char| c.is_whitespace() || c == '"').next()?.parse().ok()
     }
 
-    /// Stops the process where it stands. What is sent to it meanwhile is all there when it goes on.
+    /// Suspends the process with SIGSTOP. Everything sent to it in the meantime is readable once it resumes.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until("the process stands still", || {
+        wait_until("the process is suspended", || {
             let stat = std::fs::read_to_string(&stat).ok()?;
             stat.rsplit(") ").next()?.starts_with('T').then_some(())
         });
     }
 
-    /// Lets it go on.
-    pub fn go_on(&self) {
+    /// Resumes the suspended process.
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Sends a signal, to this process alone.
+    /// Sends a signal, such as `-TERM`, to this process only.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").arg(name).arg(self.child.id().to_string()).status();
         assert!(sent.is_ok_and(|s| s.success()));
     }
 
-    /// Changes its configuration file and sends SIGHUP; waits till the log says the given.
-    pub fn reload(&self, change: impl Fn(String) -> String, logged: &str) {
+    /// Alters the configuration file, sends SIGHUP and waits until the log contains `expected_log`.
+    pub fn reload(&self, change: impl Fn(String) -> String, expected_log: &str) {
         let file = self.folder.join("config.json");
         let text = std::fs::read_to_string(&file).expect("read");
         std::fs::write(file, change(text)).expect("written");
         self.signal("-HUP");
-        until(logged, || self.logged(logged).then_some(()));
+        wait_until(expected_log, || self.log_contains(expected_log).then_some(()));
     }
 
-    /// All that it logged so far.
+    /// Returns the log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).expect("read")
     }
 
-    /// Whether it logged that.
-    pub fn logged(&self, what: &str) -> bool {
+    /// Whether the log contains `what`.
+    pub fn log_contains(&self, what: &str) -> bool {
         self.log().contains(what)
     }
 }
@@ -185,18 +195,18 @@
     }
 }
 
-/// What a caller received: a status, or a request's method with its cause.
+/// A message received by a caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
-    /// To an INVITE: status, Come-Back-Ms, body.
+pub enum Received {
+    /// Response to an INVITE: call, status, Come-Back-Ms, body.
     Answer(u64, u16, Option<u64>, Vec<u8>),
-    /// To another method.
+    /// Response to another request: call, method, status.
     Other(u64, String, u16),
-    /// A BYE with its cause.
+    /// A BYE: call, cause.
     Bye(u64, u8),
 }
 
-/// A request as callers write it.
+/// Formats a request of a caller, with further header lines in `more`.
 pub fn request(method: &str, call: u64, more: &str, body: &[u8]) -> Vec<u8> {
     let text = format!(
         "{method} sip:{call:x}@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call:016x}\r\n\
@@ -206,43 +216,51 @@
     [text.as_bytes(), body].concat()
 }
 
-/// A set-up of the class `voice`, as callers write it.
-pub fn invitation(call: u64, within: u64, place: i64) -> Vec<u8> {
+/// Formats an INVITE of the class `voice`, to be answered within `within` ms.
+pub fn invite_request(call: u64, within: u64, place: i64) -> Vec<u8> {
     let more = format!(
         "Call-Kind: voice\r\nAnswer-Within: {within}\r\nRouting-Data: dest:{place};width:1;via:-1\r\n"
     );
     request("INVITE", call, &more, b"v=0 offer\r\n")
 }
 
-/// One connection of a SIP caller.
+/// A connection of a SIP caller.
 pub struct Caller {
+    /// The connection.
     pub stream: TcpStream,
+    /// Bytes received but not yet parsed.
     pub input: Vec<u8>,
-    pub said: Vec<Said>,
+    /// Messages received so far.
+    pub received: Vec<Received>,
 }
 
 impl Caller {
+    /// Connects, or returns `None` if the connection fails.
     pub fn try_connect(to: SocketAddr) -> Option<Caller> {
         let stream = TcpStream::connect(to).ok()?;
         stream.set_nodelay(true).expect("set");
         stream.set_read_timeout(Some(Duration::from_millis(2))).expect("set");
-        Some(Caller { stream, input: Vec::new(), said: Vec::new() })
+        Some(Caller { stream, input: Vec::new(), received: Vec::new() })
     }
 
+    /// Connects.
     pub fn connect(to: SocketAddr) -> Caller {
         Caller::try_connect(to).expect("the program listens")
     }
 
+    /// Sends a request.
     pub fn send(&mut self, method: &str, call: u64, more: &str, body: &[u8]) {
         let _ = self.stream.write_all(&request(method, call, more, body));
     }
 
+    /// Sends an INVITE of the class `voice`.
     pub fn invite(&mut self, call: u64, within: u64, place: i64) {
-        let _ = self.stream.write_all(&invitation(call, within, place));
+        let _ = self.stream.write_all(&invite_request(call, within, place));
     }
 
-    /// Takes in what is there; `false` once the program has closed the connection.
-    pub fn take_in(&mut self) -> bool {
+    /// Reads once, waiting for up to 2 ms, and parses the messages. Returns `false` once the program has closed the
+    /// connection.
+    pub fn receive(&mut self) -> bool {
         let mut bytes = [0; 4096];
         let open = match self.stream.read(&mut bytes) {
             Ok(0) => false,
@@ -254,37 +272,38 @@
         };
         while let Ok(Some(message)) = sip::parse(&self.input) {
             let call = message.header("Call-ID").and_then(|v| u64::from_str_radix(v, 16).ok()).unwrap_or(0);
-            let said = match message.start {
+            let received = match message.start {
                 StartLine::Request(_, _) => {
                     let reason = message.header("Reason").and_then(sip::cause).unwrap_or(0);
-                    Said::Bye(call, reason)
+                    Received::Bye(call, reason)
                 }
                 StartLine::Response(status) => match message.cseq() {
                     Some((_, "INVITE")) => {
-                        let away = message.header("Come-Back-Ms").and_then(|v| v.parse().ok());
-                        Said::Answer(call, status, away, message.body.to_vec())
+                        let retry_after_ms = message.header("Come-Back-Ms").and_then(|v| v.parse().ok());
+                        Received::Answer(call, status, retry_after_ms, message.body.to_vec())
                     }
-                    other => Said::Other(call, other.map_or("", |o| o.1).into(), status),
+                    other => Received::Other(call, other.map_or("", |o| o.1).into(), status),
                 },
             };
             let bytes = message.bytes;
             self.input.drain(..bytes);
-            self.said.push(said);
+            self.received.push(received);
         }
         open
     }
 
-    /// Waits for the final answer to a call's INVITE, or to an OPTIONS (call 0).
+    /// Waits for the response to a call's INVITE or OPTIONS and returns its status, Come-Back-Ms and body, or `None` if
+    /// the connection is closed or [`WAIT_TIMEOUT`] passes first.
     pub fn answer(&mut self, call: u64) -> Option<(u16, Option<u64>, Vec<u8>)> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
-            let open = self.take_in();
-            for said in &self.said {
-                match said {
-                    Said::Answer(c, status, away, body) if *c == call => {
-                        return Some((*status, *away, body.clone()))
+            let open = self.receive();
+            for received in &self.received {
+                match received {
+                    Received::Answer(c, status, retry_after_ms, body) if *c == call => {
+                        return Some((*status, *retry_after_ms, body.clone()))
                     }
-                    Said::Other(c, method, status) if *c == call && method == "OPTIONS" => {
+                    Received::Other(c, method, status) if *c == call && method == "OPTIONS" => {
                         return Some((*status, None, Vec::new()))
                     }
                     _ => {}
@@ -297,68 +316,82 @@
         None
     }
 
-    /// Waits for something that was said.
-    pub fn wait_for(&mut self, what: &str, found: impl Fn(&Said) -> bool) -> Said {
-        until(what, || {
-            self.take_in();
-            self.said.iter().find(|s| found(s)).cloned()
+    /// Waits for a message for which `found` is true.
+    pub fn wait_for(&mut self, what: &str, found: impl Fn(&Received) -> bool) -> Received {
+        wait_until(what, || {
+            self.receive();
+            self.received.iter().find(|s| found(s)).cloned()
         })
     }
 }
 
-/// How a stand-in hub treats set-ups.
+/// How a simulated hub responds to set-ups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum HubBehavior {
+    /// Answers at once.
     Answer,
+    /// Answers after a delay.
     AnswerAfter(Duration),
+    /// Refuses, as a hub without free capacity does.
     Full,
+    /// Does not respond.
     Silent,
-    /// Ends the connection under the set-up.
+    /// Closes the connection without an answer.
     Reset,
 }
 
-/// What a hub saw of a call, and when.
+/// An event of a call, as recorded by its hub.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
+pub enum HubEvent {
+    /// The hub received a set-up.
     SetUp,
-    /// A 12 before or after the answer, with its cause.
+    /// The hub received a release, before or after the answer, with this cause.
     Release(u8),
+    /// The hub answered the call.
     Answered,
+    /// The hub refused the call.
     Refused,
-    /// Its connection was reset, or it was cut, by the hub.
+    /// The hub closed the connection of the call, or hung up the call without an answer.
     Reset,
 }
 
-/// A hub's record: each event with its time, the number called (callers here call their call's own
-/// id, which is all that an IAX2 hub sees of it) and its hub.
-pub type Record = Arc<Mutex<Vec<(Instant, u64, usize, Seen)>>>;
+/// Events recorded by hubs: time, number called, number of the hub, event. Callers use the id of a call as the number
+/// called, since an IAX2 hub receives nothing else that identifies the call.
+pub type HubRecord = Arc<Mutex<Vec<(Instant, u64, usize, HubEvent)>>>;
 
+/// A simulated table hub.
 pub struct Hub {
+    /// Address on which it listens.
     pub address: SocketAddr,
+    /// Its number in the record.
     pub number: usize,
-    pub manner: Arc<Mutex<Manner>>,
-    pub record: Record,
+    /// How it responds to set-ups from now on.
+    pub behavior: Arc<Mutex<HubBehavior>>,
+    /// Record shared with the other hubs of the test.
+    pub record: HubRecord,
+    /// Connections accepted so far.
     pub connections: Arc<Mutex<Vec<TcpStream>>>,
     ended: Arc<AtomicBool>,
 }
 
-/// The description that a hub answers with.
+/// The description in the answers of a hub.
 pub const HUB_BODY: &[u8] = b"v=0 answer\r\n";
 
 impl Hub {
-    pub fn start(number: usize, manner: Manner, record: &Record) -> Hub {
+    /// Starts a hub on a free port.
+    pub fn start(number: usize, behavior: HubBehavior, record: &HubRecord) -> Hub {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("set");
         let hub = Hub {
             address: listener.local_addr().expect("an address"),
             number,
-            manner: Arc::new(Mutex::new(manner)),
+            behavior: Arc::new(Mutex::new(behavior)),
             record: record.clone(),
             connections: Arc::default(),
             ended: Arc::default(),
         };
-        let (manner, record, connections, ended) =
-            (hub.manner.clone(), record.clone(), hub.connections.clone(), hub.ended.clone());
+        let (behavior, record, connections, ended) =
+            (hub.behavior.clone(), record.clone(), hub.connections.clone(), hub.ended.clone());
         thread::spawn(move || {
             while !ended.load(Ordering::Relaxed) {
                 let Ok((stream, _)) = listener.accept() else {
@@ -368,53 +401,58 @@
                 stream.set_nonblocking(false).expect("set");
                 stream.set_nodelay(true).expect("set");
                 connections.lock().expect("lock").push(stream.try_clone().expect("cloned"));
-                let (manner, record) = (manner.clone(), record.clone());
-                thread::spawn(move || serve(stream, number, &manner, &record));
+                let (behavior, record) = (behavior.clone(), record.clone());
+                thread::spawn(move || serve(stream, number, &behavior, &record));
             }
         });
         hub
     }
 
-    pub fn set(&self, manner: Manner) {
-        *self.manner.lock().expect("lock") = manner;
+    /// Sets how it responds to set-ups from now on.
+    pub fn set_behavior(&self, behavior: HubBehavior) {
+        *self.behavior.lock().expect("lock") = behavior;
     }
 
-    /// Sends a message on the connection opened last.
+    /// Sends a message on the connection accepted last.
     pub fn send(&self, kind: u8, call: u64, parameters: &[(u8, &[u8])]) {
         let mut bytes = Vec::new();
         assert!(binary::write(&mut bytes, kind, call, parameters));
         self.send_raw(&bytes);
     }
 
+    /// Sends bytes on the connection accepted last.
     pub fn send_raw(&self, bytes: &[u8]) {
         let mut connections = self.connections.lock().expect("lock");
         connections.last_mut().expect("connected").write_all(bytes).expect("written");
     }
 
+    /// Closes all connections.
     pub fn close_connections(&self) {
         for stream in self.connections.lock().expect("lock").drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    /// The process dies: no connection lives, and none comes up.
-    pub fn die(&self) {
+    /// Simulates the death of the process: closes all connections and stops listening.
+    pub fn kill(&self) {
         self.ended.store(true, Ordering::Relaxed);
-        until("the hub's port is closed", || {
+        wait_until("the hub's port is closed", || {
             self.close_connections();
             TcpStream::connect(self.address).is_err().then_some(())
         });
         self.close_connections();
     }
 
-    pub fn seen(&self, call: u64) -> Vec<Seen> {
+    /// Returns the events of a call at this hub.
+    pub fn events_of(&self, call: u64) -> Vec<HubEvent> {
         let record = self.record.lock().expect("lock");
         record.iter().filter(|(_, c, h, _)| *c == call && *h == self.number).map(|(.., s)| *s).collect()
     }
 
-    pub fn wait_for(&self, call: u64, seen: Seen) {
-        until(&format!("hub {} sees {seen:?} of {call:x}", self.number), || {
-            self.seen(call).contains(&seen).then_some(())
+    /// Waits for an event of a call at this hub.
+    pub fn wait_for(&self, call: u64, event: HubEvent) {
+        wait_until(&format!("{event:?} of call {call:x} at hub {}", self.number), || {
+            self.events_of(call).contains(&event).then_some(())
         });
     }
 }
@@ -426,8 +464,9 @@
     }
 }
 
-fn serve(mut stream: TcpStream, hub: usize, manner: &Mutex<Manner>, record: &Record) {
-    let note = |call, seen| record.lock().expect("lock").push((Instant::now(), call, hub, seen));
+/// Serves one connection of a hub until it is closed.
+fn serve(mut stream: TcpStream, hub: usize, behavior: &Mutex<HubBehavior>, record: &HubRecord) {
+    let record_event = |call, event| record.lock().expect("lock").push((Instant::now(), call, hub, event));
     let message = |kind, call, parameters: &[(u8, &[u8])]| {
         let mut bytes = Vec::new();
         assert!(binary::write(&mut bytes, kind, call, parameters));
@@ -435,7 +474,7 @@
     };
     let state = message(kind::STATE, 0, &[(code::REPORT, b"x0:90;x1:100")]);
     let _ = stream.write_all(&state);
-    // Set-ups that are neither answered nor ended, with the number called.
+    // Number called of each set-up that is neither answered nor over.
     let open: Arc<Mutex<BTreeMap<u64, u64>>> = Arc::default();
     let mut numbers: HashMap<u64, u64> = HashMap::new();
     let (mut input, mut bytes) = (Vec::new(), [0; 4096]);
@@ -453,41 +492,41 @@
             let number = numbers.get(&call).copied().unwrap_or(call);
             match read.kind {
                 kind::SET_UP => {
-                    note(number, Seen::SetUp);
+                    record_event(number, HubEvent::SetUp);
                     assert_eq!(read.text(code::CLASS), Some("voice"));
                     open.lock().expect("lock").insert(call, number);
-                    let manner = *manner.lock().expect("lock");
+                    let behavior = *behavior.lock().expect("lock");
                     let answer = message(kind::ANSWER, call, &[(code::DESCRIPTION, HUB_BODY)]);
-                    match manner {
-                        Manner::Answer => {
+                    match behavior {
+                        HubBehavior::Answer => {
                             open.lock().expect("lock").remove(&call);
-                            note(number, Seen::Answered);
+                            record_event(number, HubEvent::Answered);
                             let _ = stream.write_all(&answer);
                         }
-                        Manner::AnswerAfter(wait) => {
+                        HubBehavior::AnswerAfter(wait) => {
                             let mut later = stream.try_clone().expect("cloned");
                             let (record, open) = (record.clone(), open.clone());
                             thread::spawn(move || {
                                 thread::sleep(wait);
                                 let mut open = open.lock().expect("lock");
                                 if open.remove(&call).is_some() {
-                                    let seen = (Instant::now(), number, hub, Seen::Answered);
-                                    record.lock().expect("lock").push(seen);
+                                    let event = (Instant::now(), number, hub, HubEvent::Answered);
+                                    record.lock().expect("lock").push(event);
                                     let _ = later.write_all(&answer);
                                 }
                             });
                         }
-                        Manner::Full => {
+                        HubBehavior::Full => {
                             open.lock().expect("lock").remove(&call);
-                            note(number, Seen::Refused);
+                            record_event(number, HubEvent::Refused);
                             let full: [(u8, &[u8]); 2] = [(code::CAUSE, &[34]), (code::NOTE, b"throttled")];
                             let _ = stream.write_all(&message(kind::RELEASE, call, &full));
                         }
-                        Manner::Silent => {}
-                        Manner::Reset => {
-                            // All that is out on the connection breaks with it.
+                        HubBehavior::Silent => {}
+                        HubBehavior::Reset => {
+                            // All unanswered set-ups of the connection fail with it.
                             let mut open = open.lock().expect("lock");
-                            open.values().for_each(|number| note(*number, Seen::Reset));
+                            open.values().for_each(|number| record_event(*number, HubEvent::Reset));
                             open.clear();
                             let _ = stream.shutdown(std::net::Shutdown::Both);
                             return;
@@ -496,7 +535,7 @@
                 }
                 kind::RELEASE => {
                     open.lock().expect("lock").remove(&call);
-                    note(number, Seen::Release(read.cause().unwrap_or(0)));
+                    record_event(number, HubEvent::Release(read.cause().unwrap_or(0)));
                 }
                 _ => {}
             }
@@ -505,17 +544,19 @@
     }
 }
 
-/// A change log that tells one list of events, as they are added.
+/// A simulated change log.
 pub struct ChangeLog {
+    /// Address on which it serves.
     pub address: SocketAddr,
     events: Arc<Mutex<Vec<String>>>,
-    /// The `since` of each poll.
+    /// The `since` of each poll so far.
     pub polls: Arc<Mutex<Vec<u64>>>,
 }
 
 impl ChangeLog {
-    /// Starts with the event 1 told already; every connection ends after `polls_each` answers.
-    pub fn start(polls_each: usize) -> ChangeLog {
+    /// Starts a change log whose next event is number 2, as event 1 is in the configuration. It closes every connection
+    /// after `polls_per_connection` responses.
+    pub fn start(polls_per_connection: usize) -> ChangeLog {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let log = ChangeLog {
             address: listener.local_addr().expect("an address"),
@@ -526,23 +567,29 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (events, polls) = (events.clone(), polls.clone());
-                thread::spawn(move || poll(stream, polls_each, &events, &polls));
+                thread::spawn(move || serve_polls(stream, polls_per_connection, &events, &polls));
             }
         });
         log
     }
 
-    /// Adds the event with the next number.
-    pub fn tell(&self, targets: &[String]) {
+    /// Appends an event with the next number.
+    pub fn append_event(&self, targets: &[String]) {
         let mut events = self.events.lock().expect("lock");
         let seq = events.len() as u64 + 2;
-        events.push(site::event(seq, false, targets));
+        events.push(site_config::event(seq, false, targets));
     }
 }
 
-fn poll(mut stream: TcpStream, polls_each: usize, events: &Mutex<Vec<String>>, polls: &Mutex<Vec<u64>>) {
+/// Serves the polls of one connection.
+fn serve_polls(
+    mut stream: TcpStream,
+    polls_per_connection: usize,
+    events: &Mutex<Vec<String>>,
+    polls: &Mutex<Vec<u64>>,
+) {
     let mut input = Vec::new();
-    for _ in 0..polls_each {
+    for _ in 0..polls_per_connection {
         let mut bytes = [0; 2048];
         while !input.ends_with(b"\r\n\r\n") {
             match stream.read(&mut bytes) {
@@ -555,16 +602,16 @@
         let since: u64 = since.parse().expect("a number");
         polls.lock().expect("lock").push(since);
         let end = Instant::now() + Duration::from_millis(20);
-        let news = loop {
-            let told: Vec<String> =
+        let new_events = loop {
+            let pending: Vec<String> =
                 events.lock().expect("lock").iter().skip(since.saturating_sub(1) as usize).cloned().collect();
-            if !told.is_empty() || Instant::now() > end {
-                break told;
+            if !pending.is_empty() || Instant::now() > end {
+                break pending;
             }
             thread::sleep(Duration::from_millis(5));
         };
-        let last = since + news.len() as u64;
-        let body = format!(r#"{{"seq":{last},"results":[{}]}}"#, news.join(","));
+        let last = since + new_events.len() as u64;
+        let body = format!(r#"{{"seq":{last},"results":[{}]}}"#, new_events.join(","));
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         if stream.write_all(answer.as_bytes()).is_err() {
             return;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,8 +1,8 @@
 //! Tests of the core with injected time and without sockets: each rule that it enforces, and messages that
 //! cross.
 
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/site_config.rs"]
+mod site_config;
 
 use bytes::Bytes;
 use petreldock::config::Config;
@@ -46,10 +46,10 @@
 
     fn with(change: impl Fn(&mut Config)) -> Harness {
         let targets = [
-            site::target("a", "10.0.0.1:1", 0, "in_service"),
-            site::target("b", "10.0.0.2:1", 1, "in_service"),
+            site_config::target("a", "10.0.0.1:1", 0, "in_service"),
+            site_config::target("b", "10.0.0.2:1", 1, "in_service"),
         ];
-        let mut config = site::config(&targets);
+        let mut config = site_config::config(&targets);
         change(&mut config);
         let (sender, front) = mpsc::channel(100);
         let links: Arc<Mutex<Vec<OpenedLink>>> = Arc::default();
@@ -333,9 +333,11 @@
     harness.input(list(false, hubs));
     assert!(harness.next_command(1).is_none(), "a repeated drain counts from the first time");
     // At the start, drains in the configured list have been in effect for long.
-    let drains =
-        [site::target("a", "10.0.0.1:1", 0, "terminating"), site::target("b", "10.0.0.2:1", 1, "in_service")];
-    let mut harness = Harness::with(|config| config.known = site::config(&drains).known);
+    let drains = [
+        site_config::target("a", "10.0.0.1:1", 0, "terminating"),
+        site_config::target("b", "10.0.0.2:1", 1, "in_service"),
+    ];
+    let mut harness = Harness::with(|config| config.known = site_config::config(&drains).known);
     for call in 0..10 {
         harness.offer(call, 0);
         assert!(harness.next_set_up(0).is_some(), "the only link is that of the other hub");
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -7,10 +7,13 @@
 
 #[path = "common/peers.rs"]
 mod peers;
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/site_config.rs"]
+mod site_config;
 
-use peers::{any_address, invitation, request, until, Caller, Program, ReservedAddress, Said, HUB_BODY};
+use peers::{
+    ephemeral_address, invite_request, request, wait_until, Caller, Program, Received, ReservedAddress,
+    HUB_BODY,
+};
 use petreldock::net::binary::{self, code, kind};
 use petreldock::net::connection_limit;
 use std::io::Write;
@@ -99,7 +102,7 @@
     }
 
     fn target(&self, number: usize, state: &str) -> String {
-        site::target(&format!("s-{number}"), &self.addresses[number].to_string(), number as i64, state)
+        site_config::target(&format!("s-{number}"), &self.addresses[number].to_string(), number as i64, state)
     }
 
     fn targets(&self, numbers: std::ops::Range<usize>) -> Vec<String> {
@@ -153,7 +156,7 @@
     }
 
     fn target(&self, number: usize) -> String {
-        site::target(&format!("u-{number}"), &self.address.to_string(), number as i64, "in_service")
+        site_config::target(&format!("u-{number}"), &self.address.to_string(), number as i64, "in_service")
     }
 }
 
@@ -266,7 +269,7 @@
 
     /// Makes the change log available, with events that follow the initial one, and returns when that was.
     fn restore(&mut self, background: &Background, events: &[&[String]]) -> Instant {
-        let event = |(n, targets): (usize, &&[String])| site::event(n as u64 + 2, false, targets);
+        let event = |(n, targets): (usize, &&[String])| site_config::event(n as u64 + 2, false, targets);
         *lock(&self.records.events) = events.iter().enumerate().map(event).collect();
         self.is_up.send_replace(true);
         let restored_at = Instant::now();
@@ -363,7 +366,7 @@
     /// Waits until the clients hold all connections that they can get, so that the program closes some to accept
     /// others.
     fn wait_until_saturated(&self) {
-        until("the idle clients hold all connections that they can get", || {
+        wait_until("the idle clients hold all connections that they can get", || {
             (self.closed.load(Ordering::Relaxed) >= 32).then_some(())
         });
     }
@@ -385,7 +388,7 @@
     for round in 0u64.. {
         if let Ok(mut stream) = TcpStream::connect(to).await {
             let call = FIRST_IDLE_CALL + (number << 16) + round;
-            let message = invitation(call, 15_000, 0);
+            let message = invite_request(call, 15_000, 0);
             let _ = match kind {
                 IdleClient::Silent => Ok(()),
                 IdleClient::StandingCall => stream.write_all(&message).await,
@@ -465,10 +468,12 @@
 /// one.
 fn hang_up(program: &Program, mut caller: Caller, call: u64) {
     caller.send("BYE", call, "", b"");
-    until("the BYE is answered", || {
-        let open = caller.take_in();
-        let answered =
-            caller.said.iter().any(|s| matches!(s, Said::Other(c, m, 200) if *c == call && m == "BYE"));
+    wait_until("the BYE is answered", || {
+        let open = caller.receive();
+        let answered = caller
+            .received
+            .iter()
+            .any(|s| matches!(s, Received::Other(c, m, 200) if *c == call && m == "BYE"));
         if !open && !answered {
             caller = Caller::try_connect(program.address)?;
             caller.send("BYE", call, "", b"");
@@ -510,7 +515,7 @@
     let configure = |text: String| {
         with_class_per_hub(text.replace("\"sockets\":1024", &format!("\"sockets\":{sockets}")), hubs)
     };
-    Program::launch(any_address(), targets, log, Some(operator), sockets as u32, configure)
+    Program::launch(ephemeral_address(), targets, log, Some(operator), sockets as u32, configure)
 }
 
 /// Asserts that the program never got EMFILE and never exceeded its limit.
@@ -549,14 +554,14 @@
     }
     let events: [&[String]; 2] = [&[hubs.target(1, "terminating")], &[hubs.target(HUBS, "in_service")]];
     let restored_at = log.restore(&background, &events);
-    let polled_at = until(&format!("the change log is polled: {what}"), || log.polled_after(1));
+    let polled_at = wait_until(&format!("the change log is polled: {what}"), || log.polled_after(1));
     assert!(
         polled_at - restored_at < MAX_POLL_DELAY,
         "polled {:?} after it was restored: {what}",
         polled_at - restored_at
     );
-    let received_at = until(&format!("its events are received: {what}"), || log.polled_after(3));
-    until(&format!("a call reaches the new hub: {what}"), || {
+    let received_at = wait_until(&format!("its events are received: {what}"), || log.polled_after(3));
+    wait_until(&format!("a call reaches the new hub: {what}"), || {
         let (number, status) = make_call(&program, HUBS);
         (status == Some(200) && hubs.received(number, HUBS)).then_some(())
     });
@@ -643,7 +648,7 @@
     let log = ChangeLog::start_unavailable(&background, Outage::Silent);
     let program = start_program(&[], Some(log.address), &operator, (256, 1));
     let monitor = DescriptorMonitor::start(&program);
-    until("the state is written", || {
+    wait_until("the state is written", || {
         std::fs::read_dir(&folder)
             .is_ok_and(|mut files| files.any(|f| f.is_ok_and(|f| f.file_name() != "lock")))
             .then_some(())
@@ -693,13 +698,13 @@
         assert!(hubs.received(number, place), "the call to place {place} reaches its hub: {what}");
     }
     let restored_at = log.restore(&background, &[&hubs.targets(count..count + 1)]);
-    let polled_at = until(&format!("the change log is polled: {what}"), || log.polled_after(1));
+    let polled_at = wait_until(&format!("the change log is polled: {what}"), || log.polled_after(1));
     assert!(
         polled_at - restored_at < MAX_POLL_DELAY,
         "polled {:?} after it was restored: {what}",
         polled_at - restored_at
     );
-    until(&format!("a call reaches the new hub: {what}"), || {
+    wait_until(&format!("a call reaches the new hub: {what}"), || {
         let (number, status) = make_call(&program, count);
         (status == Some(200) && hubs.received(number, count)).then_some(())
     });
@@ -739,7 +744,7 @@
         assert!(answer.is_some(), "an answer or a refusal, place {place}");
     }
     let restored_at = log.restore(&background, &[]);
-    let polled_at = until("the change log is polled", || log.polled_after(1));
+    let polled_at = wait_until("the change log is polled", || log.polled_after(1));
     assert!(
         polled_at - restored_at < MAX_POLL_DELAY,
         "polled {:?} after it was restored",
@@ -777,7 +782,7 @@
     call_all();
     let restored_at = log.restore(&background, &[]);
     call_all();
-    let polled_at = until("the change log is polled", || log.polled_after(1));
+    let polled_at = wait_until("the change log is polled", || log.polled_after(1));
     assert!(
         polled_at - restored_at < MAX_POLL_DELAY,
         "polled {:?} after it was restored",
@@ -803,7 +808,7 @@
     let idle_clients = IdleClients::start(&background, program.address, SOCKETS, &[IdleClient::Silent]);
     idle_clients.wait_until_saturated();
     log.restore(&background, &[&hubs.targets(INITIAL_HUBS..HUBS)]);
-    until("the new hubs are received", || log.polled_after(2));
+    wait_until("the new hubs are received", || log.polled_after(2));
     for place in INITIAL_HUBS..HUBS {
         let (number, status) = make_call(&program, place);
         assert_eq!(status, Some(200), "a call to place {place}");
@@ -824,7 +829,7 @@
     let configure = |text: String| with_class_per_hub(text.replace("\"sockets\":1024", "\"sockets\":256"), 1);
     let started = Instant::now();
     let program = Program::launch(
-        any_address(),
+        ephemeral_address(),
         &hubs.targets(0..1),
         Some(log.address),
         Some(DEBUG_LOGGING),
@@ -837,10 +842,10 @@
         256,
         &[IdleClient::Silent, IdleClient::StandingCall],
     );
-    until("accept fails", || program.logged("front: cannot accept").then_some(()));
+    wait_until("accept fails", || program.log_contains("front: cannot accept").then_some(()));
     assert_calls_succeed(&program, [0; 4], "with no descriptor left");
     let restored_at = log.restore(&background, &[]);
-    let polled_at = until("the change log is polled", || log.polled_after(1));
+    let polled_at = wait_until("the change log is polled", || log.polled_after(1));
     assert!(
         polled_at - restored_at < MAX_POLL_DELAY,
         "polled {:?} after it was restored",
@@ -867,7 +872,7 @@
     let program =
         Program::launch(address, targets, Some(log.address), Some(DEBUG_LOGGING), sockets as u32, configure);
     let elapsed = started_at.elapsed();
-    assert!(!program.logged(EMFILE_TEXT), "EMFILE during start");
+    assert!(!program.log_contains(EMFILE_TEXT), "EMFILE during start");
     elapsed
 }
 
@@ -886,7 +891,7 @@
         let mut targets = hubs.targets(0..3);
         targets.extend(refusing.iter().enumerate().map(|(n, socket)| {
             let address = socket.local_addr().expect("an address").to_string();
-            site::target(&format!("r-{n}"), &address, 3 + n as i64, "in_service")
+            site_config::target(&format!("r-{n}"), &address, 3 + n as i64, "in_service")
         }));
         targets.extend(hanging.iter().enumerate().map(|(n, u)| u.target(3 + known_hubs / 2 + n)));
         assert_eq!(targets.len(), known_hubs);
@@ -909,7 +914,7 @@
 /// The prefix that [`IdleClient::PartialMessage`] sends must not be a complete message.
 #[test]
 fn partial_message_of_an_idle_client_is_incomplete() {
-    let message = invitation(1, 15_000, 0);
+    let message = invite_request(1, 15_000, 0);
     assert!(message.len() > 60 && !message[..60].ends_with(b"\r\n\r\n"));
     assert!(request("OPTIONS", 0, "", b"").ends_with(b"\r\n\r\n"));
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,8 +2,8 @@
 
 #[path = "common/peers.rs"]
 mod peers;
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/site_config.rs"]
+mod site_config;
 
 use miniserde::json;
 use peers::*;
@@ -24,11 +24,11 @@
 
 impl Fleet {
     fn new(size: usize, seed: u64) -> Fleet {
-        let record = Record::default();
-        let hub = Hub::start(0, Manner::Answer, &record);
-        let targets = [site::target("s-0", &hub.address.to_string(), 0, "in_service")];
+        let record = HubRecord::default();
+        let hub = Hub::start(0, HubBehavior::Answer, &record);
+        let targets = [site_config::target("s-0", &hub.address.to_string(), 0, "in_service")];
         let document = move |_: usize, listens: std::net::SocketAddr| {
-            site::document(&listens.to_string(), None, &targets)
+            site_config::document(&listens.to_string(), None, &targets)
         };
         let binary = Path::new(env!("CARGO_BIN_EXE_petreldock"));
         let processes = Processes::new(binary, size, seed, DETECTION_MS, Box::new(document));
@@ -59,7 +59,7 @@
     /// Waits until all that run see the same, which is who runs.
     fn agree(&self) {
         let running = self.processes.running();
-        until("all agree on who is there", || {
+        wait_until("all agree on who is there", || {
             let views: Vec<Shown> = running.iter().filter_map(|n| self.shown(*n)).collect();
             let equal = views.iter().all(|v| v.hash == views[0].hash && v.live == running.len());
             (equal && views.len() == running.len()).then_some(())
@@ -67,7 +67,7 @@
     }
 
     fn sees_gone(&self, by: usize, name: &str) {
-        until(&format!("n{by} sees {name} gone"), || {
+        wait_until(&format!("n{by} sees {name} gone"), || {
             let phase = self.member(by, name).map(|m| m.phase);
             (phase.as_deref() == Some("gone")).then_some(())
         });
@@ -77,11 +77,11 @@
     fn call(&mut self, n: usize) {
         self.calls += 1;
         let call = self.calls;
-        let mut caller = until("a caller gets in", || Caller::try_connect(self.processes.listens(n)));
+        let mut caller = wait_until("a caller gets in", || Caller::try_connect(self.processes.listens(n)));
         caller.invite(call, 5_000, 0);
         let answer = caller.answer(call);
         assert_eq!(answer, Some((200, None, HUB_BODY.to_vec())), "call {call:x} through n{n}");
-        assert_eq!(self.hub.seen(call).iter().filter(|s| **s == Seen::SetUp).count(), 1);
+        assert_eq!(self.hub.events_of(call).iter().filter(|s| **s == HubEvent::SetUp).count(), 1);
     }
 
     /// How often a member logged that.
@@ -107,7 +107,7 @@
     fleet.call(4);
     let table = fleet.processes.show(0, false).expect("a table");
     assert!(table.contains("fleet lab, seen by n0@") && table.contains("5 live"), "{table}");
-    until("n4's facts have come", || {
+    wait_until("n4's facts have come", || {
         let m = fleet.member(0, "n4")?;
         (m.program.as_deref() == Some(env!("CARGO_PKG_VERSION")) && m.seq == Some(1)).then_some(())
     });
@@ -169,10 +169,10 @@
     fleet.processes.names[3] = "n2".into();
     (0..4).for_each(|n| fleet.processes.start(n).expect("it starts"));
     fleet.agree();
-    until("the displaced one says so", || {
+    wait_until("the displaced one says so", || {
         (fleet.logged(2, "started later: it is not counted on") == 1).then_some(())
     });
-    until("the holder says so", || {
+    wait_until("the holder says so", || {
         (fleet.logged(3, "this one started later and holds it") == 1).then_some(())
     });
     let shown = fleet.shown(0).expect("a view");
@@ -188,7 +188,7 @@
     let mut fleet = Fleet::joined(4, 7);
     fleet.act("leave 1");
     let phase = |f: &Fleet| f.member(0, "n1").map(|m| m.phase);
-    until("n1 is seen to leave", || {
+    wait_until("n1 is seen to leave", || {
         matches!(phase(&fleet).as_deref(), Some("leaving" | "gone")).then_some(())
     });
     assert!(fleet.processes.ended(1), "exit code nought");
@@ -212,7 +212,7 @@
         fleet.processes.proxy.inject(0, torn);
     }
     fleet.processes.proxy.inject(0, vec![7; 1_500]);
-    until("what was torn is counted", || {
+    wait_until("what was torn is counted", || {
         let dropped = fleet.shown(0)?.dropped;
         let count = |why: &str| dropped.iter().any(|c| c.why == why);
         (count("torn") && count("too long")).then_some(())
@@ -266,7 +266,7 @@
         let value =
             petreldock::config::parse(&format!(r#"{{"fleet":{{{section}}}}}"#), "file").expect("JSON");
         let root = petreldock::config::At::root(&value, "");
-        let names = site::config(&[]).names;
+        let names = site_config::config(&[]).names;
         let error = petreldock::config::Operator::read(&root, &names).expect_err(&section).to_string();
         assert!(error.starts_with(expected), "{section}: {error}");
     }
--- a/tests/fleet_wire.rs
+++ b/tests/fleet_wire.rs
@@ -1,7 +1,7 @@
 //! The fleet's datagrams against cuts, changes and garbage, and what each form gives back.
 
-#[path = "common/garble.rs"]
-mod garble;
+#[path = "common/parser_fuzz.rs"]
+mod parser_fuzz;
 
 use foca::{Header, Member, Message, State};
 use petreldock::fleet::show;
@@ -50,7 +50,7 @@
 fn datagrams_bear_cuts_and_garbage() {
     let sealed: Vec<Vec<u8>> =
         swims().iter().map(|body| wire::seal("lab", &who(1), Kind::Swim, true, body)).collect();
-    garble::feed(&sealed, false, |input| match wire::open("lab", input) {
+    parser_fuzz::fuzz_parser(&sealed, false, |input| match wire::open("lab", input) {
         Ok(envelope) => {
             assert!(envelope.unsure && envelope.sender == who(1) && envelope.kind == Kind::Swim);
             Ok(Some(input.len()))
@@ -66,7 +66,9 @@
 
 #[test]
 fn bodies_bear_cuts_and_garbage_past_the_checksum() {
-    garble::feed(&swims(), false, |input| wire::read_swim(input).map(|_| Some(input.len())).map_err(|_| ()));
+    parser_fuzz::fuzz_parser(&swims(), false, |input| {
+        wire::read_swim(input).map(|_| Some(input.len())).map_err(|_| ())
+    });
     let records: Vec<Record> = (1..4)
         .map(|n| Record {
             address: who(n).address,
@@ -82,7 +84,7 @@
     records.iter().for_each(|r| wire::record(&mut body, r));
     assert_eq!(body.len(), records.iter().map(wire::record_bytes).sum::<usize>());
     assert_eq!(wire::read_records(&body), Ok(records));
-    garble::feed(&[body], false, |input| {
+    parser_fuzz::fuzz_parser(&[body], false, |input| {
         wire::read_records(input).map(|_| Some(input.len())).map_err(|_| ())
     });
 }
--- a/tests/hub_link.rs
+++ b/tests/hub_link.rs
@@ -1,8 +1,8 @@
 //! Tests of the link to a table hub, over loopback: hubs that stop reading or answering, lost connections, stale and
 //! malformed messages, and releases after a silence.
 
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/site_config.rs"]
+mod site_config;
 
 use bytes::Bytes;
 use petreldock::core::*;
@@ -51,7 +51,7 @@
     let commands = hub::start(
         LinkId(1),
         &endpoint,
-        site::config(&[]).limits,
+        site_config::config(&[]).limits,
         &ConnectionLimit::new(1024),
         &SharedCount::default(),
         clock,
@@ -191,7 +191,7 @@
         let commands = hub::start(
             LinkId(1),
             &endpoint,
-            site::config(&[]).limits,
+            site_config::config(&[]).limits,
             &ConnectionLimit::new(1024),
             &SharedCount::default(),
             clock,
@@ -491,7 +491,7 @@
     let endpoint = listener.local_addr().expect("an address").to_string();
     let (inputs, mut events) = mpsc::channel(INPUT_QUEUE_CAPACITY);
     let (clock, outstanding) = (Clock::system(), SharedCount::default());
-    let limits = site::config(&[]).limits;
+    let limits = site_config::config(&[]).limits;
     let commands =
         hub::start(LinkId(1), &endpoint, limits, &ConnectionLimit::new(1024), &outstanding, clock, inputs);
     let (mut hub, _) = timeout(TEST_TIMEOUT, listener.accept()).await.expect("dialled").expect("accepted");
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -59,7 +59,7 @@
     assert!(write(&mut whole, &mut log(), 14) >= 14);
     for cut in 0..whole.steps {
         for seed in 0..25 {
-            let mut disk = SimDisk::default().cut(cut);
+            let mut disk = SimDisk::default().with_power_loss_at(cut);
             let lasts = write(&mut disk, &mut log(), 14);
             let mut found = disk.after_power_loss(seed);
             let (mut again, sequences, replayed) = open(&mut found, 0);
@@ -69,7 +69,7 @@
             let lost = replayed.findings.iter().any(|f| matches!(f, Finding::Lost { .. }));
             assert!(!lost, "cut at {cut}, seed {seed}: {:?}", replayed.findings);
             // It goes on from there, and is cut again.
-            let mut found = found.cut(seed as usize * 7 % whole.steps);
+            let mut found = found.with_power_loss_at(seed as usize * 7 % whole.steps);
             let lasts = write(&mut found, &mut again, last + 6);
             let (_, sequences, replayed) = open(&mut found.after_power_loss(seed + 1), 0);
             let last = sequences.len() as u64;
@@ -95,11 +95,11 @@
     let (_, sequences, replayed) = open(&mut disk, 0);
     assert_eq!((sequences, replayed.findings), ((1..=5).collect(), vec![]));
     // A full disk: the batch is cut short, and goes to a new segment once there is room.
-    disk.room = Some(80);
+    disk.max_file_bytes = Some(80);
     let batch: Vec<Vec<u8>> = (6..=9).map(payload).collect();
     let batch: Vec<&[u8]> = batch.iter().map(Vec::as_slice).collect();
     assert!(log.commit(&mut disk, &batch).is_err());
-    disk.room = None;
+    disk.max_file_bytes = None;
     assert_eq!(log.commit(&mut disk, &batch).expect("room again"), 6);
     assert_eq!(open(&mut disk, 0).1, (1..=9).collect::<Vec<_>>());
 }
@@ -206,7 +206,7 @@
         let mut disk = SimDisk::default();
         log().commit(&mut disk, &[b"x"]).expect("sound");
         disk.damage("calls.0000000001", |b| b.splice(48.., garbage.clone()).for_each(drop));
-        disk.lay("calls.0000000002", &garbage);
+        disk.add_synced_file("calls.0000000002", &garbage);
         let opened = log().open(&mut disk, 0, |_, _| {}).expect("there");
         assert!(opened.findings.len() <= 3);
     }
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -5,10 +5,10 @@
 mod iax2_peers;
 #[path = "common/peers.rs"]
 mod peers;
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/site_config.rs"]
+mod site_config;
 
-use iax2_peers::{Iax2Hub, Phones};
+use iax2_peers::{DeskEquipment, Iax2Hub};
 use peers::*;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -19,7 +19,7 @@
 const RECORD_LAG: Duration = Duration::from_millis(60);
 
 struct Site {
-    record: Record,
+    record: HubRecord,
     sip_hub: Hub,
     iax2_hub: Iax2Hub,
     log: ChangeLog,
@@ -28,8 +28,8 @@
 }
 
 /// A table hub at place 0, an IAX2 hub at place 1, and both fronts.
-fn start(sip_manner: Manner, iax2_manner: Manner) -> Site {
-    let record = Record::default();
+fn start(sip_manner: HubBehavior, iax2_manner: HubBehavior) -> Site {
+    let record = HubRecord::default();
     let sip_hub = Hub::start(0, sip_manner, &record);
     let iax2_hub = Iax2Hub::start(1, iax2_manner, &record);
     let log = ChangeLog::start(100);
@@ -39,14 +39,14 @@
             "calls":{{"class":"voice","answerWithinMs":3000,"place":1}}}}}}"#,
         iax2_hub.address
     );
-    let targets = [site::target("s-0", &sip_hub.address.to_string(), 0, "in_service")];
+    let targets = [site_config::target("s-0", &sip_hub.address.to_string(), 0, "in_service")];
     let program = Program::start(&targets, Some(log.address), Some(&operator));
     Site { record, sip_hub, iax2_hub, log, program, iax2 }
 }
 
 /// Checks each number's attempts over all hubs; gives how many attempts there were.
-fn check_attempts(record: &Record) -> usize {
-    let mut numbers: BTreeMap<u64, Vec<(Instant, usize, Seen)>> = BTreeMap::new();
+fn check_attempts(record: &HubRecord) -> usize {
+    let mut numbers: BTreeMap<u64, Vec<(Instant, usize, HubEvent)>> = BTreeMap::new();
     for (at, number, hub, seen) in record.lock().expect("lock").iter() {
         numbers.entry(*number).or_default().push((*at, *hub, *seen));
     }
@@ -56,21 +56,21 @@
         let (mut out, mut not_before) = (None, None);
         for (at, hub, seen) in events {
             match seen {
-                Seen::SetUp => {
+                HubEvent::SetUp => {
                     attempts += 1;
                     assert_eq!(out, None, "{number:x}: an attempt at {hub} while one is out");
                     assert!(not_before.is_none_or(|t| at >= t), "{number:x}: sent within the pause");
                     out = Some(hub);
                 }
-                Seen::Refused => out = None,
-                Seen::Reset => {
+                HubEvent::Refused => out = None,
+                HubEvent::Reset => {
                     (out, not_before) = (None, Some(at + PAUSE));
                 }
                 // A give-up or a release. A call that stood and is over is not sent again.
-                Seen::Release(_) if out == Some(hub) => {
+                HubEvent::Release(_) if out == Some(hub) => {
                     (out, not_before) = (None, Some(at + PAUSE - RECORD_LAG));
                 }
-                Seen::Release(_) | Seen::Answered => {}
+                HubEvent::Release(_) | HubEvent::Answered => {}
             }
         }
     }
@@ -79,16 +79,16 @@
 
 #[test]
 fn calls_cross_and_media_flows_between_iax2_legs() {
-    let site = start(Manner::Answer, Manner::Answer);
-    let mut phones = Phones::connect(site.iax2);
+    let site = start(HubBehavior::Answer, HubBehavior::Answer);
+    let mut phones = DeskEquipment::connect(site.iax2);
     phones.dial(10, 0x510);
-    until("the desk call stands", || {
-        phones.drive(Duration::from_millis(20));
+    wait_until("the desk call stands", || {
+        phones.run_for(Duration::from_millis(20));
         (phones.line(10).answers == [None]).then_some(())
     });
-    phones.speak(10, b"hello");
-    until("voice comes back", || {
-        phones.drive(Duration::from_millis(20));
+    phones.send_voice(10, b"hello");
+    wait_until("voice comes back", || {
+        phones.run_for(Duration::from_millis(20));
         phones.line(10).voice.contains(&b"hello".to_vec()).then_some(())
     });
     // A SIP caller at the IAX2 hub, and desk equipment at the table hub.
@@ -97,36 +97,36 @@
     let (code, _, body) = caller.answer(0x511).expect("an answer");
     assert_eq!((code, body.len()), (200, 0), "signalled, without media");
     caller.send("BYE", 0x511, "", b"");
-    until("the IAX2 hub hears the release", || {
+    wait_until("the IAX2 hub hears the release", || {
         let record = site.record.lock().expect("lock");
-        record.iter().any(|e| (e.1, e.2, e.3) == (0x511, 1, Seen::Release(16))).then_some(())
+        record.iter().any(|e| (e.1, e.2, e.3) == (0x511, 1, HubEvent::Release(16))).then_some(())
     });
-    site.iax2_hub.set(Manner::Full);
+    site.iax2_hub.set_behavior(HubBehavior::Full);
     phones.dial(11, 0x512);
-    until("the table hub takes what the IAX2 hub refuses", || {
-        phones.drive(Duration::from_millis(20));
+    wait_until("the table hub takes what the IAX2 hub refuses", || {
+        phones.run_for(Duration::from_millis(20));
         (phones.line(11).answers == [None]).then_some(())
     });
-    assert_eq!(site.sip_hub.seen(0x512), [Seen::SetUp, Seen::Answered]);
+    assert_eq!(site.sip_hub.events_of(0x512), [HubEvent::SetUp, HubEvent::Answered]);
     phones.hang_up(11);
-    phones.drive(Duration::from_millis(50));
-    site.sip_hub.wait_for(0x512, Seen::Release(16));
+    phones.run_for(Duration::from_millis(50));
+    site.sip_hub.wait_for(0x512, HubEvent::Release(16));
 }
 
 #[test]
 fn a_desk_call_cancelled_while_its_set_up_waits_at_a_slow_hub() {
-    let site = start(Manner::Silent, Manner::AnswerAfter(Duration::from_millis(900)));
-    let mut phones = Phones::connect(site.iax2);
+    let site = start(HubBehavior::Silent, HubBehavior::AnswerAfter(Duration::from_millis(900)));
+    let mut phones = DeskEquipment::connect(site.iax2);
     phones.dial(10, 0x520);
-    until("the set-up waits", || {
-        phones.drive(Duration::from_millis(10));
+    wait_until("the set-up waits", || {
+        phones.run_for(Duration::from_millis(10));
         (!site.record.lock().expect("lock").is_empty()).then_some(())
     });
     phones.hang_up(10);
-    phones.drive(Duration::from_millis(1200));
+    phones.run_for(Duration::from_millis(1200));
     assert!(phones.line(10).answers.is_empty(), "no answer to a call that was given up");
     let seen: Vec<_> = site.record.lock().expect("lock").iter().map(|e| e.3).collect();
-    assert_eq!(seen, [Seen::SetUp, Seen::Release(16)], "the hub is told, and never answers");
+    assert_eq!(seen, [HubEvent::SetUp, HubEvent::Release(16)], "the hub is told, and never answers");
 }
 
 /// All connections are used in turn: one that says nothing after it is opened is closed.
@@ -136,21 +136,26 @@
 
 #[test]
 fn mixed_load_keeps_the_rules() {
-    let site = start(Manner::AnswerAfter(Duration::from_millis(30)), Manner::Answer);
+    let site = start(HubBehavior::AnswerAfter(Duration::from_millis(30)), HubBehavior::Answer);
     let mut callers: Vec<Caller> = (0..4).map(|_| Caller::connect(site.program.address)).collect();
-    let mut phones = Phones::connect(site.iax2);
+    let mut phones = DeskEquipment::connect(site.iax2);
     let (mut told, mut cancelled) = (None, Vec::new());
     let rounds = 150_u64;
     for round in 0..rounds {
         match round {
-            20 => site.sip_hub.set(Manner::Reset),
-            40 => site.iax2_hub.set(Manner::Full),
-            50 => site.sip_hub.set(Manner::Silent),
-            70 => site.iax2_hub.set(Manner::Reset),
-            80 => site.sip_hub.set(Manner::Answer),
+            20 => site.sip_hub.set_behavior(HubBehavior::Reset),
+            40 => site.iax2_hub.set_behavior(HubBehavior::Full),
+            50 => site.sip_hub.set_behavior(HubBehavior::Silent),
+            70 => site.iax2_hub.set_behavior(HubBehavior::Reset),
+            80 => site.sip_hub.set_behavior(HubBehavior::Answer),
             90 => {
-                site.log.tell(&[site::target("s-0", &site.sip_hub.address.to_string(), 0, "terminating")]);
-                site.iax2_hub.set(Manner::Answer);
+                site.log.append_event(&[site_config::target(
+                    "s-0",
+                    &site.sip_hub.address.to_string(),
+                    0,
+                    "terminating",
+                )]);
+                site.iax2_hub.set_behavior(HubBehavior::Answer);
             }
             _ => {}
         }
@@ -165,16 +170,16 @@
             }
         }
         phones.dial(100 + round as u16, 0x9000 + round);
-        phones.drive(Duration::from_millis(25));
+        phones.run_for(Duration::from_millis(25));
         if let Some(call) = cancelled.last().filter(|c| (**c - 0x1000) / 16 == round) {
             callers[connection(*call)].send("CANCEL", *call, "", b"");
         }
         if told.is_none() && site.log.polls.lock().expect("lock").contains(&2) {
             told = Some(Instant::now());
         }
-        callers[(round % 4) as usize].take_in();
+        callers[(round % 4) as usize].receive();
     }
-    phones.drive(Duration::from_millis(3500));
+    phones.run_for(Duration::from_millis(3500));
     let mut by_status: BTreeMap<u16, usize> = BTreeMap::new();
     for round in 0..rounds {
         let jump = if (60..63).contains(&round) { 8 } else { 1 };
@@ -182,8 +187,9 @@
             let call = 0x1000 + round * 16 + extra;
             let caller = &mut callers[connection(call)];
             let (status, ..) = caller.answer(call).expect("each call is answered");
-            caller.take_in();
-            let finals = caller.said.iter().filter(|s| matches!(s, Said::Answer(c, ..) if *c == call));
+            caller.receive();
+            let finals =
+                caller.received.iter().filter(|s| matches!(s, Received::Answer(c, ..) if *c == call));
             assert_eq!(finals.count(), 1, "{call:x}: one final answer");
             *by_status.entry(status).or_default() += 1;
         }
@@ -199,7 +205,7 @@
     assert!(attempts > 100, "{attempts} attempts");
     let told = told.expect("the drain was told");
     let late = site.record.lock().expect("lock").iter().any(|(at, _, hub, seen)| {
-        *hub == 0 && *seen == Seen::SetUp && *at > told + Duration::from_millis(2050)
+        *hub == 0 && *seen == HubEvent::SetUp && *at > told + Duration::from_millis(2050)
     });
     assert!(!late, "nothing new at a draining hub after its grace");
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,9 +1,9 @@
 //! The parsers on truncated, altered and random input, and on unusual but complete messages.
 
-#[path = "common/garble.rs"]
-mod garble;
+#[path = "common/parser_fuzz.rs"]
+mod parser_fuzz;
 
-use garble::feed;
+use parser_fuzz::fuzz_parser;
 use petreldock::config::{self, At};
 use petreldock::iax2::frame::{self, element, iax, kind, put, Elements, Frame, Full};
 use petreldock::net::sip::{Malformed, StartLine};
@@ -18,7 +18,7 @@
     let response = "SIP/2.0 200 OK\r\ni: 9b1f03aa5c7e2d41\r\nCSeq: 1 BYE\r\nl: 0\r\n\r\n";
     let folded = "BYE sip:a@net SIP/2.0\r\nReason: Q.850\r\n ;cause=41\r\nCall-ID: 1\r\n\r\n";
     let valid = [INVITE, response, folded].map(|t| t.as_bytes().to_vec());
-    feed(&valid, true, |input| match sip::parse(input) {
+    fuzz_parser(&valid, true, |input| match sip::parse(input) {
         Ok(read) => Ok(read.map(|m| m.bytes)),
         Err(_) => Err(()),
     });
@@ -75,7 +75,7 @@
 fn binary_parser_handles_truncated_and_random_input() {
     let mut plain = Vec::new();
     assert!(binary::write(&mut plain, binary::kind::RELEASE_HEARD, u64::MAX, &[]));
-    feed(&[release_with_report(), plain], true, |input| match binary::parse(input) {
+    fuzz_parser(&[release_with_report(), plain], true, |input| match binary::parse(input) {
         Ok(read) => Ok(read.map(|m| m.bytes)),
         Err(_) => Err(()),
     });
@@ -101,7 +101,7 @@
     let chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6;x=1\r\n{\"seq\"\r\n3\r\n:4}\r\n0\r\n\r\n";
     let valid = [plain, chunked].map(|t| t.as_bytes().to_vec());
-    feed(&valid, true, |input| match http::parse(input, false) {
+    fuzz_parser(&valid, true, |input| match http::parse(input, false) {
         Ok(read) => Ok(read.map(|r| r.bytes)),
         Err(_) => Err(()),
     });
@@ -143,7 +143,7 @@
     let mini = frame::write_mini(9, 77, b"voice");
     assert_eq!(frame::parse(&mini), Some(Frame::Mini { source: 9, timestamp: 77, data: b"voice" }));
     // Frames have no length field, so that a truncated frame can be a valid shorter one.
-    feed(&[new.write(), voice.write(), mini], false, |input| match frame::parse(input) {
+    fuzz_parser(&[new.write(), voice.write(), mini], false, |input| match frame::parse(input) {
         Some(Frame::Full(full)) => {
             let _ = Elements::parse(full.data);
             Ok(Some(full.data.len() + 12))
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -2,8 +2,8 @@
 
 #[path = "common/peers.rs"]
 mod peers;
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/site_config.rs"]
+mod site_config;
 
 use peers::*;
 use petreldock::config::{self, At, Config, Operator};
@@ -15,7 +15,7 @@
 
 fn targets(hubs: &[&Hub]) -> Vec<String> {
     let target = |h: &&Hub| {
-        site::target(&format!("s-{}", h.number), &h.address.to_string(), h.number as i64, "in_service")
+        site_config::target(&format!("s-{}", h.number), &h.address.to_string(), h.number as i64, "in_service")
     };
     hubs.iter().map(target).collect()
 }
@@ -26,8 +26,8 @@
 
 #[test]
 fn served_and_released_on_any_connection() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Answer, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Answer, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
     let mut first = Caller::connect(program.address);
     first.invite(0xa1, 3000, 0);
@@ -36,128 +36,131 @@
     // The caller hangs up on another connection.
     let mut second = Caller::connect(program.address);
     second.send("BYE", 0xa1, "Reason: Q.850;cause=31\r\n", b"");
-    hub.wait_for(0xa1, Seen::Release(31));
-    second.wait_for("BYE is heard", |s| matches!(s, Said::Other(0xa1, m, 200) if m == "BYE"));
+    hub.wait_for(0xa1, HubEvent::Release(31));
+    second.wait_for("BYE is heard", |s| matches!(s, Received::Other(0xa1, m, 200) if m == "BYE"));
     // The hub ends one whose connection is gone: its release comes on the other.
     first.invite(0xa2, 3000, 0);
     assert_eq!(status(&mut first, 0xa2), 200);
     drop(first);
     hub.send(kind::RELEASE, 0xa2, &[(code::CAUSE, &[16])]);
-    second.wait_for("the release", |s| *s == Said::Bye(0xa2, 16));
+    second.wait_for("the release", |s| *s == Received::Bye(0xa2, 16));
     // ... and with no connection open, on the next one.
     second.invite(0xa3, 3000, 0);
     assert_eq!(status(&mut second, 0xa3), 200);
     drop(second);
     hub.send(kind::RELEASE, 0xa3, &[(code::CAUSE, &[41])]);
     let mut third = Caller::connect(program.address);
-    third.wait_for("the parked release", |s| *s == Said::Bye(0xa3, 41));
+    third.wait_for("the parked release", |s| *s == Received::Bye(0xa3, 41));
     // A release of a call from before the start is passed on as well.
     hub.send(kind::RELEASE, 0xbeef, &[(code::CAUSE, &[16])]);
-    third.wait_for("an unknown call's release", |s| *s == Said::Bye(0xbeef, 16));
+    third.wait_for("an unknown call's release", |s| *s == Received::Bye(0xbeef, 16));
 }
 
 #[test]
 fn refused_with_when_to_come_back() {
-    let record = Record::default();
-    let hubs = [Hub::start(0, Manner::Full, &record), Hub::start(1, Manner::Full, &record)];
+    let record = HubRecord::default();
+    let hubs = [Hub::start(0, HubBehavior::Full, &record), Hub::start(1, HubBehavior::Full, &record)];
     let program = Program::start(&targets(&[&hubs[0], &hubs[1]]), None, None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0xb1, 3000, 0);
     let (code, away, _) = caller.answer(0xb1).expect("an answer");
     assert_eq!(code, 503);
     assert!(away.is_some_and(|ms| ms > 0 && ms <= 2000), "{away:?}");
-    assert!(hubs.iter().all(|h| h.seen(0xb1) == [Seen::SetUp, Seen::Refused]), "each is asked once");
+    assert!(
+        hubs.iter().all(|h| h.events_of(0xb1) == [HubEvent::SetUp, HubEvent::Refused]),
+        "each is asked once"
+    );
     caller.invite(0xb2, 3000, 0);
-    hubs[1].set(Manner::Answer);
+    hubs[1].set_behavior(HubBehavior::Answer);
     status(&mut caller, 0xb2);
 }
 
 #[test]
 fn cancelled_while_its_set_up_waits() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Silent, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Silent, &record);
     // A silent hub is soon sent little: what comes later has another as its first choice.
-    let other = Hub::start(1, Manner::Silent, &record);
+    let other = Hub::start(1, HubBehavior::Silent, &record);
     let program = Program::start(&targets(&[&hub, &other]), None, None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0xc1, 3000, 0);
-    hub.wait_for(0xc1, Seen::SetUp);
+    hub.wait_for(0xc1, HubEvent::SetUp);
     caller.send("CANCEL", 0xc1, "", b"");
     assert_eq!(status(&mut caller, 0xc1), 487);
-    hub.wait_for(0xc1, Seen::Release(16));
+    hub.wait_for(0xc1, HubEvent::Release(16));
     // The hub's answer crosses: it is released, and the caller hears nothing more.
     hub.send(kind::ANSWER, 0xc1, &[(code::DESCRIPTION, b"late")]);
-    until("the late answer is released", || {
-        (hub.seen(0xc1).iter().filter(|s| **s == Seen::Release(16)).count() == 2).then_some(())
+    wait_until("the late answer is released", || {
+        (hub.events_of(0xc1).iter().filter(|s| **s == HubEvent::Release(16)).count() == 2).then_some(())
     });
     caller.send("CANCEL", 0xc1, "", b"");
-    caller.wait_for("no such set-up", |s| matches!(s, Said::Other(0xc1, _, 481)));
-    let finals = caller.said.iter().filter(|s| matches!(s, Said::Answer(0xc1, ..))).count();
+    caller.wait_for("no such set-up", |s| matches!(s, Received::Other(0xc1, _, 481)));
+    let finals = caller.received.iter().filter(|s| matches!(s, Received::Answer(0xc1, ..))).count();
     assert_eq!(finals, 1);
     // So does a BYE before the answer.
     caller.invite(0xc3, 3000, 1);
-    other.wait_for(0xc3, Seen::SetUp);
+    other.wait_for(0xc3, HubEvent::SetUp);
     caller.send("BYE", 0xc3, "", b"");
     assert_eq!(status(&mut caller, 0xc3), 487);
-    other.wait_for(0xc3, Seen::Release(16));
+    other.wait_for(0xc3, HubEvent::Release(16));
     // A lost connection withdraws its set-ups too.
     caller.invite(0xc2, 3000, 1);
-    other.wait_for(0xc2, Seen::SetUp);
+    other.wait_for(0xc2, HubEvent::SetUp);
     drop(caller);
-    other.wait_for(0xc2, Seen::Release(16));
+    other.wait_for(0xc2, HubEvent::Release(16));
 }
 
 #[test]
 fn a_reset_waits_the_pause_out_and_a_dead_hub_ends_what_stood() {
-    let record = Record::default();
-    let other = Hub::start(0, Manner::Reset, &record);
-    let hub = Hub::start(1, Manner::Answer, &record);
+    let record = HubRecord::default();
+    let other = Hub::start(0, HubBehavior::Reset, &record);
+    let hub = Hub::start(1, HubBehavior::Answer, &record);
     let program = Program::start(&targets(&[&other, &hub]), None, None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0xd1, 3000, 0);
     assert_eq!(status(&mut caller, 0xd1), 200);
     let record = record.lock().expect("lock").clone();
     let at = |seen| record.iter().filter(|e| e.3 == seen).map(|e| e.0).max().expect("seen");
-    assert_eq!(hub.seen(0xd1), [Seen::SetUp, Seen::Answered]);
-    assert!(at(Seen::SetUp) - at(Seen::Reset) >= Duration::from_millis(200), "{record:?}");
+    assert_eq!(hub.events_of(0xd1), [HubEvent::SetUp, HubEvent::Answered]);
+    assert!(at(HubEvent::SetUp) - at(HubEvent::Reset) >= Duration::from_millis(200), "{record:?}");
     // A lost connection alone ends no call that stands.
     hub.close_connections();
-    until("the link is up again", || (!hub.connections.lock().expect("lock").is_empty()).then_some(()));
+    wait_until("the link is up again", || (!hub.connections.lock().expect("lock").is_empty()).then_some(()));
     caller.invite(0xd2, 3000, 1);
     assert_eq!(status(&mut caller, 0xd2), 200);
-    assert!(!caller.said.contains(&Said::Bye(0xd1, 41)));
-    hub.die();
+    assert!(!caller.received.contains(&Received::Bye(0xd1, 41)));
+    hub.kill();
     for call in [0xd1, 0xd2] {
-        caller.wait_for("the dead hub's calls are released", |s| *s == Said::Bye(call, 41));
+        caller.wait_for("the dead hub's calls are released", |s| *s == Received::Bye(call, 41));
     }
 }
 
 #[test]
 fn a_silent_hub_costs_a_refusal_in_time() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Silent, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Silent, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
     let mut caller = Caller::connect(program.address);
     let sent = Instant::now();
     caller.invite(0xe1, 1500, 0);
     assert!(status(&mut caller, 0xe1) >= 480);
     assert!(sent.elapsed() >= Duration::from_millis(1000), "{:?}", sent.elapsed());
-    hub.wait_for(0xe1, Seen::Release(16));
+    hub.wait_for(0xe1, HubEvent::Release(16));
 }
 
 #[test]
 fn a_drain_in_the_change_log_moves_calls_away() {
-    let record = Record::default();
-    let hubs = [Hub::start(0, Manner::Answer, &record), Hub::start(1, Manner::Answer, &record)];
+    let record = HubRecord::default();
+    let hubs = [Hub::start(0, HubBehavior::Answer, &record), Hub::start(1, HubBehavior::Answer, &record)];
     // Each answer closes the connection: the poller must come back, and from where it was.
     let log = ChangeLog::start(1);
     let program = Program::start(&targets(&[&hubs[0], &hubs[1]]), Some(log.address), None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0xf0, 3000, 0);
     assert_eq!(status(&mut caller, 0xf0), 200);
-    assert_eq!(hubs[0].seen(0xf0), [Seen::SetUp, Seen::Answered]);
-    log.tell(&[site::target("s-0", &hubs[0].address.to_string(), 0, "terminating")]);
-    until("the poller has the event", || log.polls.lock().expect("lock").contains(&2).then_some(()));
+    assert_eq!(hubs[0].events_of(0xf0), [HubEvent::SetUp, HubEvent::Answered]);
+    log.append_event(&[site_config::target("s-0", &hubs[0].address.to_string(), 0, "terminating")]);
+    wait_until("the poller has the event", || log.polls.lock().expect("lock").contains(&2).then_some(()));
     let before = log.polls.lock().expect("lock").len();
     std::thread::sleep(Duration::from_millis(2100));
     let polls = log.polls.lock().expect("lock").len() - before;
@@ -167,31 +170,32 @@
         caller.invite(call, 3000, 0);
         status(&mut caller, call);
     }
-    let late = record.lock().expect("lock").iter().any(|e| e.0 > drained && e.2 == 0 && e.3 == Seen::SetUp);
+    let late =
+        record.lock().expect("lock").iter().any(|e| e.0 > drained && e.2 == 0 && e.3 == HubEvent::SetUp);
     assert!(!late, "nothing new after the drain's grace");
-    assert!((0xf1..0xf9).any(|c| hubs[1].seen(c).contains(&Seen::Answered)));
-    log.tell(&[site::target("s-0", &hubs[0].address.to_string(), 0, "terminated")]);
-    caller.wait_for("what stood there is released", |s| *s == Said::Bye(0xf0, 41));
+    assert!((0xf1..0xf9).any(|c| hubs[1].events_of(c).contains(&HubEvent::Answered)));
+    log.append_event(&[site_config::target("s-0", &hubs[0].address.to_string(), 0, "terminated")]);
+    caller.wait_for("what stood there is released", |s| *s == Received::Bye(0xf0, 41));
     let polls = log.polls.lock().expect("lock").clone();
     assert!(polls.windows(2).all(|w| w[0] <= w[1]) && polls[0] == 1, "without gaps: {polls:?}");
 }
 
 #[test]
 fn sighup_moves_the_poller_and_disturbs_no_call() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::AnswerAfter(Duration::from_millis(300)), &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::AnswerAfter(Duration::from_millis(300)), &record);
     // The first log has told event 2 and then goes silent, with its connection open.
     let (old, new) = (ChangeLog::start(1000), ChangeLog::start(1000));
     let mut program = Program::start(&targets(&[&hub]), Some(old.address), None);
-    let moved = [Hub::start(2, Manner::Answer, &record), Hub::start(1, Manner::Answer, &record)];
+    let moved = [Hub::start(2, HubBehavior::Answer, &record), Hub::start(1, HubBehavior::Answer, &record)];
     let added = |i: usize| [targets(&[&moved[i]]).remove(0)];
     for log in [&old, &new] {
-        log.tell(&added(0));
+        log.append_event(&added(0));
     }
-    until("the poller has event 2", || old.polls.lock().expect("lock").contains(&2).then_some(()));
+    wait_until("the poller has event 2", || old.polls.lock().expect("lock").contains(&2).then_some(()));
     let mut caller = Caller::connect(program.address);
     caller.invite(0x51, 3000, 0);
-    hub.wait_for(0x51, Seen::SetUp);
+    hub.wait_for(0x51, HubEvent::SetUp);
     let address = |log: &ChangeLog| format!("{:?}", log.address.to_string());
     let (from, to) = (address(&old), address(&new));
     let (sound, nought) = ("\"balancers\":1", "\"balancers\":0");
@@ -202,40 +206,40 @@
     assert!(new.polls.lock().expect("lock").is_empty(), "a faulty file changes nothing");
     let logged = format!("reloaded: change log now at {}", new.address);
     program.reload(|text| text.replace("\"there\"", &to), &logged);
-    new.tell(&added(1));
-    until("the new log is asked", || new.polls.lock().expect("lock").contains(&3).then_some(()));
+    new.append_event(&added(1));
+    wait_until("the new log is asked", || new.polls.lock().expect("lock").contains(&3).then_some(()));
     assert_eq!(new.polls.lock().expect("lock")[0], 2, "from the last event on");
     assert_eq!(status(&mut caller, 0x51), 200, "what was open stays open");
     caller.invite(0x52, 3000, 1);
     assert_eq!(status(&mut caller, 0x52), 200);
-    assert!(moved[1].seen(0x52).contains(&Seen::Answered), "what the new log tells counts");
+    assert!(moved[1].events_of(0x52).contains(&HubEvent::Answered), "what the new log tells counts");
     assert!(program.child.try_wait().expect("waited").is_none());
 }
 
 #[test]
 fn sigterm_answers_all_and_ends() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::AnswerAfter(Duration::from_millis(900)), &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::AnswerAfter(Duration::from_millis(900)), &record);
     let mut program = Program::start(&targets(&[&hub]), None, None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0x71, 3000, 0);
-    hub.wait_for(0x71, Seen::SetUp);
+    hub.wait_for(0x71, HubEvent::SetUp);
     program.signal("-TERM");
     let end = Instant::now();
-    let mut late = until("still accepting", || Caller::try_connect(program.address));
+    let mut late = wait_until("still accepting", || Caller::try_connect(program.address));
     late.invite(0x72, 3000, 0);
     assert_eq!(status(&mut caller, 0x71), 200);
     late.send("OPTIONS", 0, "", b"");
     assert_eq!(late.answer(0).map(|a| a.0), Some(503), "it asks for no more callers");
     assert_eq!(late.answer(0x72).map(|a| a.0), Some(200));
-    let exit = until("the program ends", || program.child.try_wait().expect("waited"));
+    let exit = wait_until("the program ends", || program.child.try_wait().expect("waited"));
     assert!(exit.success() && end.elapsed() >= Duration::from_millis(700));
 }
 
 #[test]
 fn bad_input_harms_no_other_call() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Answer, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Answer, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
     let mut caller = Caller::connect(program.address);
     caller.send("INVITE", 0x91, "Call-Kind: voice\r\nAnswer-Within: soon\r\n", b"");
@@ -248,30 +252,35 @@
     caller.send("INVITE", 0x9a, &long, b"");
     assert_eq!(status(&mut caller, 0x9a), 513, "headers that an answer would have to repeat");
     caller.send("PUBLISH", 0x94, "", b"");
-    caller.wait_for("405", |s| matches!(s, Said::Other(0x94, _, 405)));
+    caller.wait_for("405", |s| matches!(s, Received::Other(0x94, _, 405)));
     caller.invite(0x95, 3000, 0);
     assert_eq!(status(&mut caller, 0x95), 200, "the connection lives on");
     let mut lost = Caller::connect(program.address);
     lost.stream.write_all(b"\x16\x03\x01 nonsense\r\n\r\n").expect("written");
-    until("nonsense is closed", || (!lost.take_in()).then_some(()));
+    wait_until("nonsense is closed", || (!lost.receive()).then_some(()));
     // A garbled binary message closes its connection only; unknown types and parameters are skipped.
     hub.send(99, 5, &[(250, b"new")]);
     hub.send(kind::RELEASE, 0x95, &[(250, b"new"), (code::CAUSE, &[16])]);
-    caller.wait_for("released", |s| *s == Said::Bye(0x95, 16));
+    caller.wait_for("released", |s| *s == Received::Bye(0x95, 16));
     caller.invite(0x96, 3000, 0);
     assert_eq!(status(&mut caller, 0x96), 200);
     let before = hub.connections.lock().expect("lock").len();
     hub.send_raw(&[0xff; 40]);
-    until("the link is opened anew", || (hub.connections.lock().expect("lock").len() > before).then_some(()));
+    wait_until("the link is opened anew", || {
+        (hub.connections.lock().expect("lock").len() > before).then_some(())
+    });
     caller.invite(0x97, 3000, 0);
     assert_eq!(status(&mut caller, 0x97), 200);
-    assert!(!caller.said.contains(&Said::Bye(0x96, 41)), "a call that stands belongs to no connection");
+    assert!(
+        !caller.received.contains(&Received::Bye(0x96, 41)),
+        "a call that stands belongs to no connection"
+    );
 }
 
 #[test]
 fn silent_and_halting_callers_are_closed_and_a_taken_id_is_refused() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Silent, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Silent, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
     let start = Instant::now();
     let mut silent = Caller::connect(program.address);
@@ -284,11 +293,11 @@
     // One that waits for its answer stays.
     let mut waiting = Caller::connect(program.address);
     waiting.invite(0x41, 15_000, 0);
-    hub.wait_for(0x41, Seen::SetUp);
+    hub.wait_for(0x41, HubEvent::SetUp);
     // Its id is taken: on the same connection, and on another.
     waiting.invite(0x41, 15_000, 0);
     assert_eq!(status(&mut waiting, 0x41), 503);
-    waiting.said.clear();
+    waiting.received.clear();
     let mut other = Caller::connect(program.address);
     other.invite(0x41, 15_000, 0);
     assert_eq!(status(&mut other, 0x41), 503);
@@ -299,12 +308,16 @@
     both.stream.write_all(b"OPTIONS sip:").expect("written");
     assert_eq!(status(&mut both, 0x42), 500);
     for (who, caller) in [("silent", &mut silent), ("blank", &mut blank), ("halting", &mut halting)] {
-        until(who, || (!caller.take_in()).then_some(()));
+        wait_until(who, || (!caller.receive()).then_some(()));
     }
-    until("short", || (!short.take_in()).then_some(()));
+    wait_until("short", || (!short.receive()).then_some(()));
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}; 30 s was too long", start.elapsed());
-    assert!(waiting.take_in() && waiting.said.is_empty(), "the open call is untouched: {:?}", waiting.said);
-    assert_eq!(hub.seen(0x41), [Seen::SetUp]);
+    assert!(
+        waiting.receive() && waiting.received.is_empty(),
+        "the open call is untouched: {:?}",
+        waiting.received
+    );
+    assert_eq!(hub.events_of(0x41), [HubEvent::SetUp]);
 }
 
 #[test]
@@ -327,7 +340,7 @@
         std::fs::remove_dir_all(&folder).expect("removed");
         text
     };
-    let good = site::document("127.0.0.1:0", None, &[]);
+    let good = site_config::document("127.0.0.1:0", None, &[]);
     assert_eq!(run("{", None), "petreldock: ROUTER_CONFIG: expected a JSON document\n");
     let attempts = good.replace("\"maxAttempts\":6", "\"maxAttempts\":\"x\"");
     assert_eq!(run(&attempts, None), "petreldock: settings.limits.maxAttempts: expected a count\n");
@@ -340,10 +353,10 @@
 
 #[test]
 fn running_out_of_descriptors_is_survived() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Answer, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Answer, &record);
     // The configuration promises 1,024; the process gets 40 and finds out at accept.
-    let program = Program::start_with(&targets(&[&hub]), None, None, (40, 1024));
+    let program = Program::start_with_socket_limits(&targets(&[&hub]), None, None, (40, 1024));
     let mut serving = Caller::connect(program.address);
     serving.invite(0x81, 3000, 0);
     assert_eq!(status(&mut serving, 0x81), 200);
@@ -351,15 +364,15 @@
     let mut late = Caller::connect(program.address);
     late.invite(0x82, 15_000, 0);
     assert_eq!(status(&mut late, 0x82), 200, "idle connections make room");
-    assert!(!serving.said.contains(&Said::Bye(0x81, 41)));
+    assert!(!serving.received.contains(&Received::Bye(0x81, 41)));
     let mut any = Caller::connect(program.address);
     hub.send(kind::RELEASE, 0x81, &[(code::CAUSE, &[16])]);
-    until("the release comes on any connection", || {
+    wait_until("the release comes on any connection", || {
         [&mut serving, &mut late, &mut any]
             .into_iter()
             .any(|c| {
-                c.take_in();
-                c.said.contains(&Said::Bye(0x81, 16))
+                c.receive();
+                c.received.contains(&Received::Bye(0x81, 16))
             })
             .then_some(())
     });
@@ -367,18 +380,18 @@
 
 #[test]
 fn over_the_bound_on_connections_idle_ones_make_room() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::AnswerAfter(Duration::from_millis(300)), &record);
-    let program = Program::start_with(&targets(&[&hub]), None, None, (1024, 64));
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::AnswerAfter(Duration::from_millis(300)), &record);
+    let program = Program::start_with_socket_limits(&targets(&[&hub]), None, None, (1024, 64));
     let mut busy = Caller::connect(program.address);
     busy.invite(0x61, 10_000, 0);
-    hub.wait_for(0x61, Seen::SetUp);
+    hub.wait_for(0x61, HubEvent::SetUp);
     let mut idle: Vec<Caller> = (0..50).map(|_| Caller::connect(program.address)).collect();
     let mut late = Caller::connect(program.address);
     late.invite(0x62, 10_000, 0);
     assert_eq!(status(&mut late, 0x62), 200);
     assert_eq!(status(&mut busy, 0x61), 200, "a connection with an open set-up stays");
-    let closed = idle.iter_mut().filter_map(|c| (!c.take_in()).then_some(())).count();
+    let closed = idle.iter_mut().filter_map(|c| (!c.receive()).then_some(())).count();
     assert!(closed >= 20, "{closed} of 50 idle ones closed, where 32 connections may be open");
 }
 
@@ -398,13 +411,14 @@
 
 #[test]
 fn more_hubs_than_descriptors_leave_room_for_callers_and_who_is_called_is_reached() {
-    let record = Record::default();
-    let hubs: Vec<Hub> = (0..90).map(|n| Hub::start(n, Manner::Answer, &record)).collect();
+    let record = HubRecord::default();
+    let hubs: Vec<Hub> = (0..90).map(|n| Hub::start(n, HubBehavior::Answer, &record)).collect();
     // The hubs that take calls are listed last: the others were there first.
-    let target =
-        |n: usize| site::target(&format!("s-{n}"), &hubs[n].address.to_string(), n as i64, "in_service");
+    let target = |n: usize| {
+        site_config::target(&format!("s-{n}"), &hubs[n].address.to_string(), n as i64, "in_service")
+    };
     let targets: Vec<String> = (0..90).rev().map(target).collect();
-    let program = Program::start_with(&targets, None, None, (96, 96));
+    let program = Program::start_with_socket_limits(&targets, None, None, (96, 96));
     let descriptors =
         || std::fs::read_dir(format!("/proc/{}/fd", program.child.id())).map_or(0, |files| files.count());
     let mut callers: Vec<Caller> = Vec::new();
--- a/tests/release_before_answer.rs
+++ b/tests/release_before_answer.rs
@@ -3,14 +3,14 @@
 
 #[path = "common/peers.rs"]
 mod peers;
-#[path = "common/script.rs"]
-mod script;
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/scripted_hub.rs"]
+mod scripted_hub;
+#[path = "common/site_config.rs"]
+mod site_config;
 
 use peers::*;
 use petreldock::net::binary::{code, kind};
-use script::*;
+use scripted_hub::*;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
@@ -28,25 +28,27 @@
 struct ReleasedCall {
     call: u64,
     cause: u8,
-    set_up: Sent,
+    set_up: ReceivedMessage,
     answer_at: Instant,
     caller: Caller,
 }
 
 /// Changes the idempotency of the class `voice`.
 fn with_idempotency(name: &'static str) -> impl Fn(String) -> String {
-    move |text| unhurried(text).replace("\"idempotency\":\"free\"", &format!("\"idempotency\":\"{name}\""))
+    move |text| {
+        with_long_objective(text).replace("\"idempotency\":\"free\"", &format!("\"idempotency\":\"{name}\""))
+    }
 }
 
 /// The final responses and the BYEs that a caller received for a call.
-fn received_messages(caller: &mut Caller, call: u64) -> Vec<Said> {
-    caller.take_in();
-    let of_call = |said: &&Said| match said {
-        Said::Answer(c, status, ..) => *c == call && *status >= 200,
-        Said::Bye(c, _) => *c == call,
-        Said::Other(..) => false,
+fn received_messages(caller: &mut Caller, call: u64) -> Vec<Received> {
+    caller.receive();
+    let of_call = |said: &&Received| match said {
+        Received::Answer(c, status, ..) => *c == call && *status >= 200,
+        Received::Bye(c, _) => *c == call,
+        Received::Other(..) => false,
     };
-    caller.said.iter().filter(of_call).cloned().collect()
+    caller.received.iter().filter(of_call).cloned().collect()
 }
 
 /// Sets up a call that its hub releases before it answers, and checks the caller's final response.
@@ -59,9 +61,9 @@
 ) -> ReleasedCall {
     let mut caller = Caller::connect(program.address);
     caller.invite(call, 15_000, 0);
-    let set_up = hub.set_up(call, 1);
+    let set_up = hub.wait_for_set_up(call, 1);
     let released = Instant::now();
-    hub.say(set_up.link, kind::RELEASE, call, &[(code::CAUSE, &[cause])]);
+    hub.send(set_up.connection, kind::RELEASE, call, &[(code::CAUSE, &[cause])]);
     let (status, away, _) = caller.answer(call).expect("a final answer");
     assert!(
         released.elapsed() < MAX_RELEASE_DELAY,
@@ -76,16 +78,17 @@
 fn complete_call(hub: &mut ScriptedHub, program: &Program, call: u64) {
     let mut caller = Caller::connect(program.address);
     caller.invite(call, 15_000, 0);
-    let set_up = hub.set_up(call, 1);
+    let set_up = hub.wait_for_set_up(call, 1);
     hub.answer(&set_up);
-    assert_eq!(status(&mut caller, call), 200);
-    hub.say(set_up.link, kind::RELEASE, call, &[(code::CAUSE, &[16])]);
-    caller.wait_for("the BYE of a completed call", |said| *said == Said::Bye(call, 16));
+    assert_eq!(answer_status(&mut caller, call), 200);
+    hub.send(set_up.connection, kind::RELEASE, call, &[(code::CAUSE, &[16])]);
+    caller.wait_for("the BYE of a completed call", |said| *said == Received::Bye(call, 16));
 }
 
 fn answer_after_release_is_ignored(idempotency: &'static str) {
     let (mut hub, mut other) = (ScriptedHub::new(), ScriptedHub::new());
-    let program = Program::changed(&[hub.target(0), other.target(1)], None, with_idempotency(idempotency));
+    let program =
+        Program::start_with_config(&[hub.target(0), other.target(1)], None, with_idempotency(idempotency));
     let mut released_calls = Vec::new();
     for (number, answer_delay) in ANSWER_DELAYS.into_iter().enumerate() {
         for cause in CAUSES {
@@ -107,7 +110,11 @@
             1,
             "one final response, and no BYE for a call that was never answered: {cause} {received:?}"
         );
-        assert_eq!((hub.set_ups(call), other.set_ups(call)), (1, 0), "no further attempt, cause {cause}");
+        assert_eq!(
+            (hub.set_up_count(call), other.set_up_count(call)),
+            (1, 0),
+            "no further attempt, cause {cause}"
+        );
     }
     complete_call(&mut hub, &program, 0x901);
 }
@@ -130,27 +137,27 @@
 #[test]
 fn an_answer_after_a_release_on_another_connection_is_ignored() {
     let (mut hub, mut other) = (ScriptedHub::new(), ScriptedHub::new());
-    let program = Program::changed(&[hub.target(0), other.target(1)], None, unhurried);
-    until("two connections are up", || {
-        hub.take_in();
-        (hub.links.len() >= 2).then_some(())
+    let program = Program::start_with_config(&[hub.target(0), other.target(1)], None, with_long_objective);
+    wait_until("two connections are up", || {
+        hub.receive();
+        (hub.connections.len() >= 2).then_some(())
     });
     let mut caller = Caller::connect(program.address);
     caller.invite(0x20, 15_000, 0);
-    let set_up = hub.set_up(0x20, 1);
+    let set_up = hub.wait_for_set_up(0x20, 1);
     let released = Instant::now();
-    hub.say(1 - set_up.link, kind::RELEASE, 0x20, &[(code::CAUSE, &[16])]);
-    assert_eq!(status(&mut caller, 0x20), 500);
+    hub.send(1 - set_up.connection, kind::RELEASE, 0x20, &[(code::CAUSE, &[16])]);
+    assert_eq!(answer_status(&mut caller, 0x20), 500);
     assert!(released.elapsed() < MAX_RELEASE_DELAY, "final response after {:?}", released.elapsed());
     // The set-up on the first connection may be a later attempt, so the program gives it up.
-    let give_up = hub.release(0x20);
-    assert_eq!((give_up.link, give_up.cause), (set_up.link, Some(16)));
+    let give_up = hub.wait_for_release(0x20);
+    assert_eq!((give_up.connection, give_up.cause), (set_up.connection, Some(16)));
     hub.answer(&set_up);
     complete_call(&mut hub, &program, 0x21);
     sleep(SETTLE_TIME);
     let received = received_messages(&mut caller, 0x20);
     assert_eq!(received.len(), 1, "{received:?}");
-    assert_eq!((hub.set_ups(0x20), other.set_ups(0x20)), (1, 0));
+    assert_eq!((hub.set_up_count(0x20), other.set_up_count(0x20)), (1, 0));
 }
 
 /// When the answer to the lost attempt arrives.
@@ -165,31 +172,33 @@
 fn an_answer_to_a_lost_attempt_is_released_at_its_hub_and_not_taken_for_the_next_attempts() {
     for answer_time in [AnswerTime::DuringNextAttempt, AnswerTime::DuringCall, AnswerTime::AfterCall] {
         let (mut first, mut second) = (ScriptedHub::new(), ScriptedHub::new());
-        let program = Program::changed(&[first.target(0), second.target(1)], None, unhurried);
+        let program =
+            Program::start_with_config(&[first.target(0), second.target(1)], None, with_long_objective);
         let mut caller = Caller::connect(program.address);
         caller.invite(0x30, 15_000, 0);
-        let lost = first.set_up(0x30, 1);
+        let lost = first.wait_for_set_up(0x30, 1);
         // The connection closes during the set-up, which may have run; the hub's answer comes on another connection.
-        first.break_connection(lost.link);
-        let (hub_is_first, again) = until("the next attempt", || {
-            first.take_in();
-            second.take_in();
+        first.break_connection(lost.connection);
+        let (hub_is_first, again) = wait_until("the next attempt", || {
+            first.receive();
+            second.receive();
             let set_ups = |hub: &ScriptedHub, skip: usize| {
-                hub.sent.iter().filter(|s| s.kind == kind::SET_UP && s.call == 0x30).nth(skip).cloned()
+                hub.received.iter().filter(|s| s.kind == kind::SET_UP && s.call == 0x30).nth(skip).cloned()
             };
             let at_first = set_ups(&first, 1).map(|sent| (true, sent));
             at_first.or_else(|| set_ups(&second, 0).map(|sent| (false, sent)))
         });
-        let link = until("another connection of the first hub", || {
-            first.take_in();
-            let is_other = |link: &usize| first.links[*link].open && !(hub_is_first && *link == again.link);
-            (0..first.links.len()).find(is_other)
+        let link = wait_until("another connection of the first hub", || {
+            first.receive();
+            let is_other =
+                |link: &usize| first.connections[*link].open && !(hub_is_first && *link == again.connection);
+            (0..first.connections.len()).find(is_other)
         });
         let next = |first: &mut ScriptedHub, second: &mut ScriptedHub, kind, parameters: &[(u8, &[u8])]| {
             let hub = if hub_is_first { first } else { second };
-            hub.say(again.link, kind, 0x30, parameters);
+            hub.send(again.connection, kind, 0x30, parameters);
         };
-        let late = Sent { link, ..lost.clone() };
+        let late = ReceivedMessage { connection: link, ..lost.clone() };
         if matches!(answer_time, AnswerTime::DuringNextAttempt) {
             first.answer(&late);
             sleep(SETTLE_TIME);
@@ -200,23 +209,27 @@
             );
         }
         next(&mut first, &mut second, kind::ANSWER, &[(code::DESCRIPTION, HUB_BODY)]);
-        assert_eq!(status(&mut caller, 0x30), 200);
+        assert_eq!(answer_status(&mut caller, 0x30), 200);
         if matches!(answer_time, AnswerTime::DuringCall) {
             first.answer(&late);
             sleep(SETTLE_TIME);
             assert_eq!(received_messages(&mut caller, 0x30).len(), 1, "the call continues");
         }
         next(&mut first, &mut second, kind::RELEASE, &[(code::CAUSE, &[16])]);
-        caller.wait_for("the BYE", |said| *said == Said::Bye(0x30, 16));
+        caller.wait_for("the BYE", |said| *said == Received::Bye(0x30, 16));
         if matches!(answer_time, AnswerTime::AfterCall) {
             first.answer(&late);
         }
         if !hub_is_first {
-            assert_eq!(first.release(0x30).cause, Some(16), "{answer_time:?}: the call is released there");
+            assert_eq!(
+                first.wait_for_release(0x30).cause,
+                Some(16),
+                "{answer_time:?}: the call is released there"
+            );
         }
         sleep(SETTLE_TIME);
         let received = received_messages(&mut caller, 0x30);
         assert_eq!(received.len(), 2, "{answer_time:?}: one answer and one BYE: {received:?}");
-        assert_eq!(first.set_ups(0x30) + second.set_ups(0x30), 2, "{answer_time:?}");
+        assert_eq!(first.set_up_count(0x30) + second.set_up_count(0x30), 2, "{answer_time:?}");
     }
 }
--- a/tests/silent_hubs.rs
+++ b/tests/silent_hubs.rs
@@ -4,14 +4,14 @@
 
 #[path = "common/peers.rs"]
 mod peers;
-#[path = "common/script.rs"]
-mod script;
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/scripted_hub.rs"]
+mod scripted_hub;
+#[path = "common/site_config.rs"]
+mod site_config;
 
 use peers::*;
 use petreldock::net::binary::{code, kind};
-use script::*;
+use scripted_hub::*;
 use std::net::TcpListener;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -27,31 +27,31 @@
 
 /// Sends the hub's state on one of its connections.
 fn send_state(hub: &mut ScriptedHub, link: usize) {
-    hub.say(link, kind::STATE, 0, &[(code::REPORT, b"x0:190;x1:200;qps:50")]);
+    hub.send(link, kind::STATE, 0, &[(code::REPORT, b"x0:190;x1:200;qps:50")]);
 }
 
 /// Waits until the hub has `count` connections, and sends its state on each new one.
 fn wait_connected(hub: &mut ScriptedHub, count: usize) {
-    let known = hub.links.len();
-    until(&format!("{count} connections"), || {
-        hub.take_in();
-        (hub.links.len() >= count).then_some(())
+    let known = hub.connections.len();
+    wait_until(&format!("{count} connections"), || {
+        hub.receive();
+        (hub.connections.len() >= count).then_some(())
     });
-    (known..hub.links.len()).for_each(|link| send_state(hub, link));
+    (known..hub.connections.len()).for_each(|link| send_state(hub, link));
 }
 
 /// Sets a call up and answers it as the hub.
-fn set_up_call(hub: &mut ScriptedHub, caller: &mut Caller, call: u64) -> Sent {
+fn set_up_call(hub: &mut ScriptedHub, caller: &mut Caller, call: u64) -> ReceivedMessage {
     caller.invite(call, 100_000, 0);
-    let set_up = hub.set_up(call, 1);
+    let set_up = hub.wait_for_set_up(call, 1);
     hub.answer(&set_up);
-    assert_eq!(status(caller, call), 200);
+    assert_eq!(answer_status(caller, call), 200);
     set_up
 }
 
 /// Starts the program with one hub that has two connections, and sets up a call there.
 fn start_with_call(hub: ScriptedHub) -> (Program, ScriptedHub, Caller) {
-    start_with_call_and_config(hub, unhurried)
+    start_with_call_and_config(hub, with_long_objective)
 }
 
 /// The same with a changed configuration.
@@ -60,7 +60,7 @@
     change: impl Fn(String) -> String,
 ) -> (Program, ScriptedHub, Caller) {
     let debug = Some(r#"{"log":{"level":"debug"}}"#);
-    let program = Program::launch(any_address(), &[hub.target(0)], None, debug, 1024, change);
+    let program = Program::launch(ephemeral_address(), &[hub.target(0)], None, debug, 1024, change);
     wait_connected(&mut hub, 2);
     let mut caller = Caller::connect(program.address);
     set_up_call(&mut hub, &mut caller, STANDING_CALL);
@@ -74,27 +74,27 @@
 }
 
 /// Leaves set-ups unanswered until the program has opened its maximum of connections to the hub.
-fn open_all_connections(hub: &mut ScriptedHub, caller: &mut Caller) -> Vec<Sent> {
+fn open_all_connections(hub: &mut ScriptedHub, caller: &mut Caller) -> Vec<ReceivedMessage> {
     let mut unanswered = Vec::new();
-    while hub.links.len() < MAX_CONNECTIONS {
+    while hub.connections.len() < MAX_CONNECTIONS {
         // One set-up on each connection, so that none is idle.
-        for _ in 0..hub.links.len() {
+        for _ in 0..hub.connections.len() {
             let call = 0x100 + unanswered.len() as u64;
             caller.invite(call, 100_000, 0);
-            unanswered.push(hub.set_up(call, 1));
+            unanswered.push(hub.wait_for_set_up(call, 1));
             sleep(SET_UP_SPACING);
         }
-        wait_connected(hub, hub.links.len() + 1);
+        wait_connected(hub, hub.connections.len() + 1);
     }
     unanswered
 }
 
 /// Checks that the call, which is over since `since`, is released in time; runs `meanwhile` repeatedly while waiting.
 fn assert_released_in_time(caller: &mut Caller, since: Instant, mut meanwhile: impl FnMut()) {
-    until("the release of a call that is over", || {
+    wait_until("the release of a call that is over", || {
         meanwhile();
-        caller.take_in();
-        caller.said.contains(&Said::Bye(STANDING_CALL, 41)).then_some(())
+        caller.receive();
+        caller.received.contains(&Received::Bye(STANDING_CALL, 41)).then_some(())
     });
     let took = since.elapsed();
     assert!(took < RELEASE_TIMEOUT, "released after {took:?}");
@@ -102,46 +102,44 @@
 
 #[test]
 fn calls_at_a_hub_whose_machine_failed_are_released_in_time() {
-    let (_program, hub, mut caller) = start_with_call(ScriptedHub::with_short_queue());
+    let (_program, hub, mut caller) = start_with_call(ScriptedHub::with_short_accept_queue());
     let since = Instant::now();
-    let _filling = hub.fill_queue();
+    let _filling = hub.fill_accept_queue();
     assert_released_in_time(&mut caller, since, || ());
 }
 
 #[test]
 fn calls_at_a_failed_hub_with_the_maximum_of_connections_are_released_in_time() {
-    let (_program, mut hub, mut caller) = start_with_call(ScriptedHub::with_short_queue());
+    let (_program, mut hub, mut caller) = start_with_call(ScriptedHub::with_short_accept_queue());
     for set_up in open_all_connections(&mut hub, &mut caller) {
         hub.answer(&set_up);
-        assert_eq!(status(&mut caller, set_up.call), 200);
+        assert_eq!(answer_status(&mut caller, set_up.call), 200);
     }
     let since = Instant::now();
-    let _filling = hub.fill_queue();
+    let _filling = hub.fill_accept_queue();
     assert_released_in_time(&mut caller, since, || ());
 }
 
 #[test]
 fn calls_at_a_failed_hub_with_unanswered_set_ups_on_all_connections_are_released_in_time() {
-    let (_program, mut hub, mut caller) = start_with_call(ScriptedHub::with_short_queue());
+    let (_program, mut hub, mut caller) = start_with_call(ScriptedHub::with_short_accept_queue());
     let _unanswered = open_all_connections(&mut hub, &mut caller);
     let since = Instant::now();
-    let _filling = hub.fill_queue();
+    let _filling = hub.fill_accept_queue();
     assert_released_in_time(&mut caller, since, || ());
 }
 
 #[test]
 fn calls_at_a_failed_hub_are_released_in_time_with_no_file_descriptor_left() {
     // Of 64 file descriptors, 16 may be connections to hubs: eight hubs with two each.
-    let mut hub = ScriptedHub::with_short_queue();
+    let mut hub = ScriptedHub::with_short_accept_queue();
     let mut others: Vec<ScriptedHub> = (1..8).map(|_| ScriptedHub::new()).collect();
     let mut targets = vec![hub.target(0)];
-    targets.extend(
-        others.iter().map(|other| {
-            site::target(&other.address.to_string(), &other.address.to_string(), 1, "in_service")
-        }),
-    );
-    let program = Program::changed(&targets, None, |text| {
-        unhurried(text).replace("\"sockets\":1024", "\"sockets\":64")
+    targets.extend(others.iter().map(|other| {
+        site_config::target(&other.address.to_string(), &other.address.to_string(), 1, "in_service")
+    }));
+    let program = Program::start_with_config(&targets, None, |text| {
+        with_long_objective(text).replace("\"sockets\":1024", "\"sockets\":64")
     });
     wait_connected(&mut hub, 2);
     others.iter_mut().for_each(|other| wait_connected(other, 2));
@@ -149,12 +147,12 @@
     set_up_call(&mut hub, &mut caller, STANDING_CALL);
     // The other hubs keep sending their state, so that none of their connections is closed as idle.
     let since = Instant::now();
-    let _filling = hub.fill_queue();
+    let _filling = hub.fill_accept_queue();
     assert_released_in_time(&mut caller, since, || {
         for other in &mut others {
-            other.take_in();
-            for link in 0..other.links.len() {
-                if other.links[link].open {
+            other.receive();
+            for link in 0..other.connections.len() {
+                if other.connections[link].open {
                     send_state(other, link);
                 }
             }
@@ -183,14 +181,15 @@
 #[test]
 fn calls_at_a_hub_that_refuses_connections_while_open_ones_are_silent_are_released_in_time() {
     for may_probe in [true, false] {
-        let change =
-            |text: String| unhurried(text).replace("\"mayProbe\":true", &format!("\"mayProbe\":{may_probe}"));
+        let change = |text: String| {
+            with_long_objective(text).replace("\"mayProbe\":true", &format!("\"mayProbe\":{may_probe}"))
+        };
         let (_program, mut hub, mut caller) = start_with_call_and_config(ScriptedHub::new(), change);
         close_listener(&mut hub);
         assert_released_in_time(&mut caller, Instant::now(), || ());
-        hub.take_in();
+        hub.receive();
         assert_eq!(
-            hub.sent.iter().any(|sent| sent.kind == kind::TEST),
+            hub.received.iter().any(|sent| sent.kind == kind::TEST),
             may_probe,
             "test messages are sent only where the configuration allows them"
         );
@@ -204,10 +203,11 @@
     let since = Instant::now();
     let mut answered = 0;
     while since.elapsed() < 2 * RELEASE_TIMEOUT {
-        hub.take_in();
-        let tests: Vec<Sent> = hub.sent.iter().filter(|sent| sent.kind == kind::TEST).cloned().collect();
+        hub.receive();
+        let tests: Vec<ReceivedMessage> =
+            hub.received.iter().filter(|sent| sent.kind == kind::TEST).cloned().collect();
         for test in tests.iter().skip(answered) {
-            hub.say(test.link, kind::TESTED, test.call, &[(code::CAUSE, &[1])]);
+            hub.send(test.connection, kind::TESTED, test.call, &[(code::CAUSE, &[1])]);
         }
         answered = tests.len();
         sleep(Duration::from_millis(5));
@@ -226,9 +226,9 @@
 fn send_state_on_new_connections(hub: &mut ScriptedHub, time: Duration) {
     let since = Instant::now();
     while since.elapsed() < time {
-        let known = hub.links.len();
-        hub.take_in();
-        (known..hub.links.len()).for_each(|link| send_state(hub, link));
+        let known = hub.connections.len();
+        hub.receive();
+        (known..hub.connections.len()).for_each(|link| send_state(hub, link));
         sleep(Duration::from_millis(5));
     }
 }
@@ -236,14 +236,14 @@
 /// Checks that the call was not released: the hub ends it on its newest open connection, and the caller gets that
 /// release.
 fn assert_call_still_stands(mut hub: ScriptedHub, mut caller: Caller) {
-    hub.take_in();
-    let last = hub.links.iter().rposition(|link| link.open).expect("a connection");
-    hub.say(last, kind::RELEASE, STANDING_CALL, &[(code::CAUSE, &[16])]);
-    caller.wait_for("its end", |said| matches!(said, Said::Bye(STANDING_CALL, _)));
+    hub.receive();
+    let last = hub.connections.iter().rposition(|link| link.open).expect("a connection");
+    hub.send(last, kind::RELEASE, STANDING_CALL, &[(code::CAUSE, &[16])]);
+    caller.wait_for("its end", |said| matches!(said, Received::Bye(STANDING_CALL, _)));
     assert!(
-        caller.said.contains(&Said::Bye(STANDING_CALL, 16)),
+        caller.received.contains(&Received::Bye(STANDING_CALL, 16)),
         "released while it stood: {:?}",
-        caller.said
+        caller.received
     );
 }
 
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -2,8 +2,8 @@
 
 #[path = "common/peers.rs"]
 mod peers;
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/site_config.rs"]
+mod site_config;
 
 use peers::*;
 use petreldock::net::binary::{code, kind};
@@ -36,18 +36,18 @@
 
 #[test]
 fn what_is_learnt_outlives_a_kill_and_a_planned_end() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Answer, &record);
-    let targets = [site::target("s-0", &hub.address.to_string(), 0, "in_service")];
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Answer, &record);
+    let targets = [site_config::target("s-0", &hub.address.to_string(), 0, "in_service")];
     let path = folder("recall");
     let mut program = Program::start(&targets, None, Some(&operator(&path)));
     let mut caller = Caller::connect(program.address);
     caller.invite(0x11, 3000, 0);
     assert_eq!(caller.answer(0x11).map(|a| a.0), Some(200));
     hub.send(kind::RELEASE, 0x11, &[(code::CAUSE, &[16]), (code::REPORT, b"x0:90;x1:100;qps:17")]);
-    caller.wait_for("released", |s| *s == Said::Bye(0x11, 16));
+    caller.wait_for("released", |s| *s == Received::Bye(0x11, 16));
     // What is shown beside the running program is what it has learnt.
-    until("the rate is kept", || {
+    wait_until("the rate is kept", || {
         let shown = command(&["state", "show", "--json"], &path);
         text(&shown.stdout).contains(r#""can_take_per_s":17.0"#).then_some(())
     });
@@ -57,13 +57,15 @@
     program.child.kill().expect("killed");
     program.child.wait().expect("ended");
     let program_again = Program::start(&targets, None, Some(&operator(&path)));
-    until("it says what it recalled", || program_again.logged("state: recalled hubs=1").then_some(()));
+    wait_until("it says what it recalled", || {
+        program_again.log_contains("state: recalled hubs=1").then_some(())
+    });
     // A planned end leaves what is known at its end.
     drop(program);
     let mut program = program_again;
     program.signal("-TERM");
     let before = std::fs::metadata(path.join("learning")).expect("there").modified().expect("known");
-    assert!(until("it ends", || program.child.try_wait().expect("waited")).success());
+    assert!(wait_until("it ends", || program.child.try_wait().expect("waited")).success());
     assert!(std::fs::metadata(path.join("learning")).expect("there").modified().expect("known") > before);
     let shown = command(&["state", "show"], &path);
     assert!(text(&shown.stdout).contains("s-0"), "{shown:?}");
@@ -77,14 +79,15 @@
 
 #[test]
 fn one_process_a_folder_and_the_second_ends_with_one_line() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Answer, &record);
-    let targets = [site::target("s-0", &hub.address.to_string(), 0, "in_service")];
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Answer, &record);
+    let targets = [site_config::target("s-0", &hub.address.to_string(), 0, "in_service")];
     let path = folder("two");
     let _first = Program::start(&targets, None, Some(&operator(&path)));
     let own = folder("two-config");
     std::fs::create_dir_all(&own).expect("made");
-    std::fs::write(own.join("c.json"), site::document("127.0.0.1:0", None, &targets)).expect("written");
+    std::fs::write(own.join("c.json"), site_config::document("127.0.0.1:0", None, &targets))
+        .expect("written");
     std::fs::write(own.join("o.json"), operator(&path)).expect("written");
     let mut second = Command::new(env!("CARGO_BIN_EXE_petreldock"));
     second.env("ROUTER_CONFIG", own.join("c.json")).env("PETRELDOCK_OPERATOR", own.join("o.json"));
@@ -126,9 +129,9 @@
 
 #[test]
 fn damaged_files_are_set_aside_and_never_refuse_a_start() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Answer, &record);
-    let targets = [site::target("s-0", &hub.address.to_string(), 0, "in_service")];
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Answer, &record);
+    let targets = [site_config::target("s-0", &hub.address.to_string(), 0, "in_service")];
     let path = folder("damaged");
     std::fs::create_dir_all(&path).expect("made");
     std::fs::write(path.join("learning"), include_bytes!("data/learning-v1").split_at(100).0)
@@ -140,27 +143,27 @@
         "{said}"
     );
     let program = Program::start(&targets, None, Some(&operator(&path)));
-    assert!(program.logged("state: it is cut short; set aside as learning.bad-1"));
-    assert!(program.logged("fallback=true"));
+    assert!(program.log_contains("state: it is cut short; set aside as learning.bad-1"));
+    assert!(program.log_contains("fallback=true"));
     let mut caller = Caller::connect(program.address);
     caller.invite(0x21, 3000, 0);
     assert_eq!(caller.answer(0x21).map(|a| a.0), Some(200));
-    until("a sound one takes its place", || verify(&path).0.then_some(()));
+    wait_until("a sound one takes its place", || verify(&path).0.then_some(()));
     drop(program);
     std::fs::remove_dir_all(&path).expect("removed");
 }
 
 #[test]
 fn a_folder_that_vanishes_costs_no_call_and_is_said_once() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Answer, &record);
-    let targets = [site::target("s-0", &hub.address.to_string(), 0, "in_service")];
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Answer, &record);
+    let targets = [site_config::target("s-0", &hub.address.to_string(), 0, "in_service")];
     let path = folder("vanished");
     let mut program = Program::start(&targets, None, Some(&operator(&path)));
-    until("it is kept", || path.join("learning").exists().then_some(()));
+    wait_until("it is kept", || path.join("learning").exists().then_some(()));
     let away = folder("vanished-away");
     std::fs::rename(&path, &away).expect("moved");
-    until("it says so", || program.logged("state: not kept").then_some(()));
+    wait_until("it says so", || program.log_contains("state: not kept").then_some(()));
     let mut caller = Caller::connect(program.address);
     for call in 0x31..0x41 {
         caller.invite(call, 3000, 0);
@@ -168,15 +171,15 @@
     }
     std::thread::sleep(Duration::from_millis(1500));
     std::fs::rename(&away, &path).expect("moved back");
-    until("it is kept again", || program.logged("state: kept again").then_some(()));
+    wait_until("it is kept again", || program.log_contains("state: kept again").then_some(()));
     assert_eq!(program.log().matches("state: not kept").count(), 1, "{}", program.log());
     // One that cannot even be made at the start: calls are served all the same.
     program.signal("-TERM");
-    until("it ends", || program.child.try_wait().expect("waited"));
+    wait_until("it ends", || program.child.try_wait().expect("waited"));
     std::fs::remove_dir_all(&path).expect("removed");
     std::fs::write(&path, b"a file").expect("written");
     let program = Program::start(&targets, None, Some(&operator(&path.join("below"))));
-    assert!(program.logged("starting without it"));
+    assert!(program.log_contains("starting without it"));
     let mut caller = Caller::connect(program.address);
     caller.invite(0x51, 3000, 0);
     assert_eq!(caller.answer(0x51).map(|a| a.0), Some(200));
@@ -186,22 +189,22 @@
 
 #[test]
 fn a_disk_that_never_answers_holds_up_neither_the_start_nor_a_call_nor_the_end() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Answer, &record);
-    let targets = [site::target("s-0", &hub.address.to_string(), 0, "in_service")];
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Answer, &record);
+    let targets = [site_config::target("s-0", &hub.address.to_string(), 0, "in_service")];
     let path = folder("slow");
     std::fs::create_dir_all(&path).expect("made");
     // To open a pipe that nobody writes to takes for ever.
     let made = Command::new("mkfifo").arg(path.join("learning")).status().expect("it runs");
     assert!(made.success());
     let mut program = Program::start(&targets, None, Some(&operator(&path)));
-    assert!(program.logged("not read within 500ms; starting without it"), "{}", program.log());
+    assert!(program.log_contains("not read within 500ms; starting without it"), "{}", program.log());
     let mut caller = Caller::connect(program.address);
     caller.invite(0x61, 3000, 0);
     assert_eq!(caller.answer(0x61).map(|a| a.0), Some(200));
     program.signal("-TERM");
-    assert!(until("it ends", || program.child.try_wait().expect("waited")).success());
-    assert!(program.logged("the last of what was learnt is not written in time"));
+    assert!(wait_until("it ends", || program.child.try_wait().expect("waited")).success());
+    assert!(program.log_contains("the last of what was learnt is not written in time"));
     std::fs::remove_dir_all(&path).expect("removed");
 }
 
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -52,7 +52,7 @@
     assert_eq!(save(&mut whole, 4), 4);
     for cut in 0..whole.steps {
         for seed in 0..60 {
-            let mut disk = SimDisk::default().cut(cut);
+            let mut disk = SimDisk::default().with_power_loss_at(cut);
             let lasts = save(&mut disk, 4);
             let mut found = disk.after_power_loss(seed);
             let loaded = snapshots().load(&mut found, |_, bytes| number(bytes));
@@ -60,7 +60,7 @@
             assert!(got == lasts || got == lasts + 1, "cut at {cut}, seed {seed}: {got} after {lasts}");
             assert!(loaded.aside.is_empty(), "nothing torn ever stands under a name in use");
             // A second loss, while the start after the first is writing.
-            let mut again = found.cut(seed as usize % whole.steps);
+            let mut again = found.with_power_loss_at(seed as usize % whole.steps);
             let lasts = save(&mut again, got + 2).max(got);
             let got = load(&mut again.after_power_loss(seed + 1)).unwrap_or(0);
             assert!(
@@ -75,7 +75,7 @@
 fn a_disk_that_fails_keeps_the_last_good_one_and_goes_on_later() {
     type Fail = fn(&mut SimDisk, bool);
     let fails: [Fail; 3] =
-        [|d, on| d.room = on.then_some(50), |d, on| d.failing_syncs = on, |d, on| d.read_only = on];
+        [|d, on| d.max_file_bytes = on.then_some(50), |d, on| d.failing_syncs = on, |d, on| d.read_only = on];
     for fail in fails {
         let (mut disk, mut snapshots) = (SimDisk::default(), snapshots());
         snapshots.save(&mut disk, 1, &payload(1)).expect("sound");
@@ -134,7 +134,7 @@
 fn files_set_aside_are_bounded() {
     let mut disk = SimDisk::default();
     for _ in 0..30 {
-        disk.lay("kept", b"nonsense");
+        disk.add_synced_file("kept", b"nonsense");
         assert_eq!(load(&mut disk), None);
     }
     assert_eq!(disk.names().expect("names").len(), 8);
--- a/tests/unresponsive_callers.rs
+++ b/tests/unresponsive_callers.rs
@@ -3,12 +3,12 @@
 
 #[path = "common/peers.rs"]
 mod peers;
-#[path = "common/script.rs"]
-mod script;
+#[path = "common/scripted_hub.rs"]
+mod scripted_hub;
 #[path = "common/sip_test_server.rs"]
 mod sip_test_server;
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/site_config.rs"]
+mod site_config;
 
 use bytes::Bytes;
 use petreldock::core::{CallName, Cause, Description, Origin, ToFront};
@@ -409,19 +409,19 @@
 
 #[test]
 fn the_program_releases_calls_of_an_unresponsive_caller_on_another_connection() {
-    use peers::{Caller, Program, Said};
-    let mut hub = script::ScriptedHub::new();
+    use peers::{Caller, Program, Received};
+    let mut hub = scripted_hub::ScriptedHub::new();
     let program = Program::start(&[hub.target(0)], None, None);
     let mut unresponsive = Caller::connect(program.address);
     unresponsive.invite(0xa1, 1_500, 0);
-    let set_up = hub.set_up(0xa1, 1);
+    let set_up = hub.wait_for_set_up(0xa1, 1);
     hub.answer(&set_up);
-    assert_eq!(script::status(&mut unresponsive, 0xa1), 200);
+    assert_eq!(scripted_hub::answer_status(&mut unresponsive, 0xa1), 200);
     let mut other = Caller::connect(program.address);
     other.send("OPTIONS", 0, "", b"");
     assert_eq!(other.answer(0).map(|a| a.0), Some(200));
     let released = Instant::now();
-    hub.say(set_up.link, kind::RELEASE, 0xa1, &[(code::CAUSE, &[16])]);
-    other.wait_for("the release on the other connection", |said| *said == Said::Bye(0xa1, 16));
+    hub.send(set_up.connection, kind::RELEASE, 0xa1, &[(code::CAUSE, &[16])]);
+    other.wait_for("the release on the other connection", |said| *said == Received::Bye(0xa1, 16));
     assert_in_time(released, Instant::now());
 }
