--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -177,8 +177,8 @@
     let plan = soak::Plan { binary: asked.binary.clone(), length_s: asked.length };
     let seeds: Vec<u64> = (asked.seed..asked.seed + asked.seeds).collect();
     let played = side_by_side(&seeds, asked.jobs, async |seed, folder: &Path| {
-        let report = soak::play(&plan, seed, folder).await?;
-        if let Some(logs) = asked.logs.as_ref().filter(|_| !report.findings.broken.is_empty()) {
+        let report = soak::run(&plan, seed, folder).await?;
+        if let Some(logs) = asked.logs.as_ref().filter(|_| !report.findings.violations.is_empty()) {
             keep_logs(folder, &logs.join(seed.to_string()))?;
         }
         Ok(report)
@@ -192,16 +192,16 @@
             found.answered,
             found.released,
             found.released_early,
-            report.held_up.as_millis(),
+            report.max_stall.as_millis(),
             if report.is_void() { ", void" } else { "" }
         );
         void += usize::from(report.is_void());
-        if asked.script || !found.broken.is_empty() {
-            report.script.iter().for_each(|line| println!("    {line}"));
+        if asked.script || !found.violations.is_empty() {
+            report.actions.iter().for_each(|line| println!("    {line}"));
         }
-        if !found.broken.is_empty() {
+        if !found.violations.is_empty() {
             broken += usize::from(!report.is_void());
-            found.broken.iter().for_each(|line| println!("  broken: {line}"));
+            found.violations.iter().for_each(|line| println!("  broken: {line}"));
         }
     }
     println!("{} seeds, {broken} with a broken rule, {void} void", played.len());
--- a/lab/src/soak/audit.rs
+++ b/lab/src/soak/audit.rs
@@ -1,82 +1,101 @@
-//! Which rules the records of a run show broken, judged after the run.
+//! Checks the records of a finished run for violations of the rules on answers, releases, attempts and drains.
 
-use super::caller::{Ended, Request};
-use super::hub::{Event, Seen};
+use super::caller::{ConnectionEnd, Request};
+use super::hub::{HubEvent, HubEventKind};
 use std::collections::{BTreeMap, HashMap};
 use tokio::time::{Duration, Instant};
 
-/// Times are measured late by up to this, and by as much as the run itself was held up.
-const MEASURED: Duration = Duration::from_millis(150);
-/// PROTOCOL, 'The rules on sockets': each time limit is this much longer.
-const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// Up to this after its time an answer only earns nothing.
-const ANSWER_GRACE: Duration = Duration::from_millis(500);
-const RELEASE_AFTER_RELEASE: Duration = Duration::from_secs(1);
-const RELEASE_AFTER_END: Duration = Duration::from_secs(8);
-const DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// PROTOCOL, 'Figures': what the change log has to tell counts as told so much later, heard or not.
-const TOLD_UNHEARD: Duration = Duration::from_secs(7);
-/// A change log that answers again is heard within this: a pause and a dial.
-const HEARD_AGAIN: Duration = Duration::from_secs(1);
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// A set-up that crosses the end of its connection within this is sent again by its caller.
-const CROSSING: Duration = Duration::from_millis(50);
+/// Recorded times may be this much late, in addition to the longest stall of the run itself.
+const MEASUREMENT_TOLERANCE: Duration = Duration::from_millis(150);
+/// Every time limit is extended by this much for transmission over sockets.
+const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
+/// An answer that is late by up to this much counts as worthless, but not as a violation.
+const LATE_ANSWER_TOLERANCE: Duration = Duration::from_millis(500);
+/// Time limit for the release to the caller after the hub has sent its release.
+const RELEASE_TIMEOUT_AFTER_HUB_RELEASE: Duration = Duration::from_secs(1);
+/// Time limit for the release to the caller after the process of the hub has died.
+const RELEASE_TIMEOUT_AFTER_HUB_DEATH: Duration = Duration::from_secs(8);
+/// Set-ups may still reach a hub for this long after its drain is known.
+const DRAIN_GRACE_TIME: Duration = Duration::from_secs(2);
+/// An event in the change log counts as known after this time, even if no poll was answered.
+const MAX_CHANGE_LOG_DELAY: Duration = Duration::from_secs(7);
+/// A controller receives the events within this time after the change log responds again: one poll interval and one
+/// connection set-up.
+const CHANGE_LOG_RECOVERY_TIME: Duration = Duration::from_secs(1);
+/// Shortest time between a give-up and the next attempt.
+const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// A set-up sent less than this before its connection closes may not be read any more; its caller is expected to repeat
+/// it.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 
-/// A span of time in which something was so.
+/// A period in which a controller or hub was in some state.
 #[derive(Clone, Copy, Debug)]
-pub struct Span {
-    pub whose: usize,
+pub struct Period {
+    /// Index of the controller or hub.
+    pub index: usize,
+    /// Start of the period.
     pub from: Instant,
+    /// End of the period.
     pub to: Instant,
 }
 
-/// What is known of a run beside the records.
+/// Facts about a run that the records of callers and hubs do not show.
 #[derive(Default)]
-pub struct Known {
-    /// When each controller's process ended: by SIGKILL, or by itself after SIGTERM.
-    pub kills: Vec<(usize, Instant)>,
-    /// Planned ends among them.
-    pub planned: Vec<Span>,
-    /// Hubs that were frozen, cut off or reset, up to a while after.
-    pub faults: Vec<Span>,
-    /// Hubs that drained, from when that was in the change log.
-    pub drains: Vec<Span>,
-    /// When the change log left polls without an answer.
-    pub silences: Vec<(Instant, Instant)>,
-    /// The run's end: what is due later is not judged.
+pub struct RunFacts {
+    /// Ends of controller processes, by SIGKILL or by themselves after SIGTERM: controller, time.
+    pub process_ends: Vec<(usize, Instant)>,
+    /// Planned shutdowns, from SIGTERM to the end of the process; that end is also in `process_ends`.
+    pub planned_shutdowns: Vec<Period>,
+    /// Faults of hubs, extended by the time in which their effects may still be recorded.
+    pub hub_faults: Vec<Period>,
+    /// Drains of hubs, from the event in the change log on.
+    pub hub_drains: Vec<Period>,
+    /// Periods in which the change log did not respond to polls.
+    pub change_log_outages: Vec<(Instant, Instant)>,
+    /// End of the run; anything due later is not checked.
     pub end: Option<Instant>,
-    /// By how much the run itself was held up.
-    pub held_up: Duration,
+    /// Longest stall of the run itself.
+    pub max_stall: Duration,
 }
 
-impl Known {
-    fn measured(&self) -> Duration {
-        MEASURED + self.held_up
+impl RunFacts {
+    /// Returns the tolerance for recorded times in this run.
+    fn tolerance(&self) -> Duration {
+        MEASUREMENT_TOLERANCE + self.max_stall
     }
 
-    /// When news that were in the change log at `at` count as told.
-    fn told(&self, at: Instant) -> Instant {
-        let silence = self.silences.iter().find(|(from, to)| *from <= at && at <= *to);
-        silence.map_or(at, |(_, to)| (*to + HEARD_AGAIN).min(at + TOLD_UNHEARD))
+    /// Returns when an event that is in the change log at `at` counts as known to the controllers.
+    fn known_by(&self, at: Instant) -> Instant {
+        let outage = self.change_log_outages.iter().find(|(from, to)| *from <= at && at <= *to);
+        outage.map_or(at, |(_, to)| (*to + CHANGE_LOG_RECOVERY_TIME).min(at + MAX_CHANGE_LOG_DELAY))
     }
 }
 
-/// What the audit found.
+/// Result of an audit.
 #[derive(Debug, Default)]
 pub struct Findings {
-    pub broken: Vec<String>,
+    /// Descriptions of the violations.
+    pub violations: Vec<String>,
+    /// Number of set-ups sent.
     pub requests: usize,
+    /// Number of set-ups with a final answer.
     pub answered: usize,
+    /// Number of calls released to their caller in time.
     pub released: usize,
-    /// Calls that were released towards their caller while their hub still had them.
+    /// Number of calls released to their caller before their hub ended them.
     pub released_early: usize,
 }
 
-/// Judges a run.
-pub fn audit(requests: &HashMap<u64, Request>, ended: &[Ended], record: &[Event], known: &Known) -> Findings {
+/// Checks a run.
+pub fn audit(
+    requests: &HashMap<u64, Request>,
+    ended: &[ConnectionEnd],
+    events: &[HubEvent],
+    facts: &RunFacts,
+) -> Findings {
     let mut findings = Findings { requests: requests.len(), ..Findings::default() };
-    let mut calls: BTreeMap<u64, Vec<Event>> = BTreeMap::new();
-    for event in record {
+    let mut calls: BTreeMap<u64, Vec<HubEvent>> = BTreeMap::new();
+    for event in events {
         calls.entry(event.call).or_default().push(*event);
     }
     let mut sorted: Vec<(&u64, &Request)> = requests.iter().collect();
@@ -84,26 +103,27 @@
     for (call, request) in sorted {
         let events = calls.get(call).map_or(&[][..], |events| &events[..]);
         findings.answered += usize::from(!request.answers.is_empty());
-        if let Some(broken) = lost(request, ended, known) {
-            findings.broken.push(format!("call {call:016x}: {broken}"));
+        if let Some(violation) = check_answer(request, ended, facts) {
+            findings.violations.push(format!("call {call:016x}: {violation}"));
         }
-        match left_standing(request, events, known) {
+        match check_release(request, events, facts) {
             Ok(released) => findings.released += usize::from(released),
-            Err(broken) => findings.broken.push(format!("call {call:016x}: {broken}")),
+            Err(violation) => findings.violations.push(format!("call {call:016x}: {violation}")),
         }
-        findings.released_early += usize::from(released_early(request, events));
+        findings.released_early += usize::from(is_released_early(request, events));
     }
     for (call, events) in &calls {
-        if let Some(broken) = attempts(events, known) {
-            findings.broken.push(format!("call {call:016x}: {broken}"));
+        if let Some(violation) = check_attempts(events, facts) {
+            findings.violations.push(format!("call {call:016x}: {violation}"));
         }
     }
-    for drain in &known.drains {
-        let to_hub = |e: &&Event| e.hub == drain.whose && e.seen == Seen::SetUp && e.at < drain.to;
-        let grace = known.told(drain.from) + DRAIN_GRACE + SOCKET_SLACK + known.measured();
-        let late = record.iter().filter(to_hub).filter(|e| e.at > grace).count();
+    for drain in &facts.hub_drains {
+        let during_drain =
+            |e: &&HubEvent| e.hub == drain.index && e.kind == HubEventKind::SetUp && e.at < drain.to;
+        let grace = facts.known_by(drain.from) + DRAIN_GRACE_TIME + SOCKET_TOLERANCE + facts.tolerance();
+        let late = events.iter().filter(during_drain).filter(|e| e.at > grace).count();
         if late > 0 {
-            findings.broken.push(format!("{late} set-ups to hub {} after its drain", drain.whose));
+            findings.violations.push(format!("{late} set-ups to hub {} after its drain", drain.index));
         }
     }
     findings
@@ -113,110 +133,128 @@
     time.as_secs_f64()
 }
 
-/// A request that did not get its one final answer in time.
-fn lost(request: &Request, ended: &[Ended], known: &Known) -> Option<String> {
+/// Describes the violation if a request did not get exactly one final answer in time.
+fn check_answer(request: &Request, ended: &[ConnectionEnd], facts: &RunFacts) -> Option<String> {
     if request.answers.len() > 1 {
         return Some(format!("{} final answers", request.answers.len()));
     }
-    if request.gave_up.is_some() {
+    if request.cancelled_at.is_some() {
         return None;
     }
-    let due = request.sent + request.within + ANSWER_GRACE + SOCKET_SLACK + known.measured();
+    let due =
+        request.sent + request.answer_timeout + LATE_ANSWER_TOLERANCE + SOCKET_TOLERANCE + facts.tolerance();
     if let Some((at, _)) = request.answers.first() {
         let late = at.saturating_duration_since(due);
         return (!late.is_zero()).then(|| format!("answered {:.2} s late", seconds(late)));
     }
-    if known.end.is_some_and(|end| due > end) {
+    if facts.end.is_some_and(|end| due > end) {
         return None;
     }
-    let life = |e: &&Ended| {
-        (e.controller, e.connection, e.life) == (request.controller, request.connection, request.life)
+    let generation = |e: &&ConnectionEnd| {
+        (e.controller, e.connection, e.generation)
+            == (request.controller, request.connection, request.generation)
     };
-    let end = ended.iter().find(life).map(|e| e.at);
-    let crossed = end.is_some_and(|at| at.saturating_duration_since(request.sent) < CROSSING);
-    let killed = known.kills.iter().find(|(c, at)| *c == request.controller && *at >= request.sent);
-    let planned = killed.is_some_and(|(c, at)| known.planned.iter().any(|p| p.whose == *c && p.to == *at));
-    let before_kill = killed.map(|(_, at)| *at - request.sent);
-    let excused = crossed
-        || killed.is_some_and(|(_, at)| *at < due && !planned)
-        || planned && before_kill.is_some_and(|before| before < CROSSING);
-    let when = before_kill.filter(|_| planned).map_or(String::new(), |before| {
-        format!(", sent {:.3} s before the end of a planned end", seconds(before))
+    let end = ended.iter().find(generation).map(|e| e.at);
+    let is_race = end.is_some_and(|at| at.saturating_duration_since(request.sent) < CLOSE_RACE_WINDOW);
+    let process_end =
+        facts.process_ends.iter().find(|(c, at)| *c == request.controller && *at >= request.sent);
+    let planned = process_end
+        .is_some_and(|(c, at)| facts.planned_shutdowns.iter().any(|p| p.index == *c && p.to == *at));
+    let time_to_end = process_end.map(|(_, at)| *at - request.sent);
+    let is_excused = is_race
+        || process_end.is_some_and(|(_, at)| *at < due && !planned)
+        || planned && time_to_end.is_some_and(|before| before < CLOSE_RACE_WINDOW);
+    let when = time_to_end.filter(|_| planned).map_or(String::new(), |before| {
+        format!(", sent {:.3} s before the end of a planned shutdown", seconds(before))
     });
     let end = end.map_or(String::new(), |at| {
         format!(
-            ", its connection ended {:.3} s after it",
+            ", its connection was closed {:.3} s after it",
             seconds(at.saturating_duration_since(request.sent))
         )
     });
-    (!excused).then(|| format!("never answered by controller {}{end}{when}", request.controller))
+    (!is_excused).then(|| format!("never answered by controller {}{end}{when}", request.controller))
 }
 
-/// Whether a call that stood and is over was released in time; `Ok(false)`: it does not apply.
-fn left_standing(request: &Request, events: &[Event], known: &Known) -> Result<bool, String> {
-    let Some((stood, 200)) = request.answers.first().copied() else { return Ok(false) };
-    let over = events.iter().rev().find_map(|event| match event.seen {
-        Seen::Ended { told: true } => Some((event, RELEASE_AFTER_RELEASE)),
-        Seen::Died => Some((event, RELEASE_AFTER_END)),
+/// Whether an established call that has ended was released to its caller. `Ok(false)` if there is nothing to check.
+///
+/// # Errors
+/// A description of the violation, if the release is late or missing.
+fn check_release(request: &Request, events: &[HubEvent], facts: &RunFacts) -> Result<bool, String> {
+    let Some((answered_at, 200)) = request.answers.first().copied() else { return Ok(false) };
+    let ended = events.iter().rev().find_map(|event| match event.kind {
+        HubEventKind::Ended { release_sent: true } => Some((event, RELEASE_TIMEOUT_AFTER_HUB_RELEASE)),
+        HubEventKind::Died => Some((event, RELEASE_TIMEOUT_AFTER_HUB_DEATH)),
         _ => None,
     });
-    let Some((event, within)) = over else { return Ok(false) };
-    // A call may end while its answer is on its way.
-    let due = event.at.max(stood) + within + SOCKET_SLACK + known.measured();
+    let Some((event, time_limit)) = ended else { return Ok(false) };
+    // A call may end at its hub before its answer reaches the caller.
+    let due = event.at.max(answered_at) + time_limit + SOCKET_TOLERANCE + facts.tolerance();
     if let Some((at, _)) = request.releases.first() {
         let late = at.saturating_duration_since(due);
         let late =
-            (!late.is_zero()).then(|| format!("released {:.2} s late ({:?})", seconds(late), event.seen));
+            (!late.is_zero()).then(|| format!("released {:.2} s late ({:?})", seconds(late), event.kind));
         return late.map_or(Ok(true), Err);
     }
-    let restarted = known.kills.iter().any(|(c, at)| *c == request.controller && *at >= stood && *at <= due);
-    let unjudged = restarted || known.end.is_some_and(|end| due > end);
-    let frozen = event.seen != Seen::Died
-        && known
-            .faults
+    let restarted =
+        facts.process_ends.iter().any(|(c, at)| *c == request.controller && *at >= answered_at && *at <= due);
+    let is_undecided = restarted || facts.end.is_some_and(|end| due > end);
+    let frozen = event.kind != HubEventKind::Died
+        && facts
+            .hub_faults
             .iter()
-            .any(|f| f.whose == event.hub && f.from <= event.at + known.measured() && event.at <= f.to);
-    if unjudged || frozen {
+            .any(|f| f.index == event.hub && f.from <= event.at + facts.tolerance() && event.at <= f.to);
+    if is_undecided || frozen {
         return Ok(false);
     }
-    Err(format!("left standing at hub {} by controller {} ({:?})", event.hub, request.controller, event.seen))
+    Err(format!(
+        "not released by controller {} after its end at hub {} ({:?})",
+        request.controller, event.hub, event.kind
+    ))
 }
 
-fn released_early(request: &Request, events: &[Event]) -> bool {
-    let ended = |e: &&Event| matches!(e.seen, Seen::Ended { .. } | Seen::Died);
+/// Whether a call was released to its caller before its hub ended it.
+fn is_released_early(request: &Request, events: &[HubEvent]) -> bool {
+    let ended = |e: &&HubEvent| matches!(e.kind, HubEventKind::Ended { .. } | HubEventKind::Died);
     match (request.releases.first(), events.iter().find(ended)) {
-        (Some((at, _)), Some(event)) => *at + MEASURED < event.at,
+        (Some((at, _)), Some(event)) => *at + MEASUREMENT_TOLERANCE < event.at,
         _ => false,
     }
 }
 
-/// Attempts that were out together, or began within the pause.
-fn attempts(events: &[Event], known: &Known) -> Option<String> {
-    let disturbed = |hub: usize, from: Instant, to: Instant| {
-        known.faults.iter().any(|f| f.whose == hub && f.from <= to && from <= f.to)
+/// Describes the violation if two attempts of a call were outstanding at once, or a retry came too early.
+fn check_attempts(events: &[HubEvent], facts: &RunFacts) -> Option<String> {
+    let is_faulty = |hub: usize, from: Instant, to: Instant| {
+        facts.hub_faults.iter().any(|f| f.index == hub && f.from <= to && from <= f.to)
     };
-    // A hub that stands still reads, and says, what was written to it long before.
-    let sound = |event: &&Event| !disturbed(event.hub, event.at, event.at);
-    let mut out: Option<&Event> = None;
-    let mut not_before: Option<Instant> = None;
-    for event in events.iter().filter(sound) {
-        match event.seen {
-            Seen::SetUp => {
-                if let Some(before) = out.filter(|o| !disturbed(o.hub, o.at, event.at)) {
-                    return Some(format!("sent to hub {} while out at hub {}", event.hub, before.hub));
+    // A frozen hub reads and records messages long after they were sent.
+    let is_reliable = |event: &&HubEvent| !is_faulty(event.hub, event.at, event.at);
+    let mut outstanding: Option<&HubEvent> = None;
+    let mut earliest_retry: Option<Instant> = None;
+    for event in events.iter().filter(is_reliable) {
+        match event.kind {
+            HubEventKind::SetUp => {
+                if let Some(before) = outstanding.filter(|o| !is_faulty(o.hub, o.at, event.at)) {
+                    return Some(format!(
+                        "sent to hub {} while outstanding at hub {}",
+                        event.hub, before.hub
+                    ));
                 }
-                if not_before.is_some_and(|at| event.at + known.measured() < at) {
-                    return Some("sent again within the pause".into());
+                if earliest_retry.is_some_and(|at| event.at + facts.tolerance() < at) {
+                    return Some("retried before the retry interval has passed".into());
                 }
-                out = Some(event);
+                outstanding = Some(event);
             }
-            Seen::GivenUp if out.is_some_and(|o| o.hub == event.hub) => {
-                (out, not_before) = (None, Some(event.at + RETRY_PAUSE));
+            HubEventKind::GivenUp if outstanding.is_some_and(|o| o.hub == event.hub) => {
+                (outstanding, earliest_retry) = (None, Some(event.at + MIN_RETRY_INTERVAL));
             }
-            Seen::Refused | Seen::Ended { .. } | Seen::Died | Seen::ReleasedByController
-                if out.is_some_and(|o| o.hub == event.hub) =>
+            HubEventKind::Refused
+            | HubEventKind::Ended { .. }
+            | HubEventKind::Died
+            | HubEventKind::ReleasedByController
+                if outstanding.is_some_and(|o| o.hub == event.hub) =>
             {
-                out = None;
+                outstanding = None;
             }
             _ => {}
         }
--- a/lab/src/soak/caller.rs
+++ b/lab/src/soak/caller.rs
@@ -1,4 +1,4 @@
-//! Callers of one controller, on a few connections that stay open: what they asked, and what they were told when.
+//! Callers of a controller on a few persistent connections, and the record of their requests and the responses.
 
 use petreldock::net::sip::{self, StartLine};
 use std::cell::{Cell, RefCell};
@@ -11,87 +11,98 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Duration, Instant};
 
-const RECONNECT: Duration = Duration::from_millis(20);
+/// Time between attempts to connect.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a caller knows of one request of its own.
+/// A set-up sent by a caller, and what the caller received for it.
 #[derive(Clone, Debug)]
 pub struct Request {
+    /// Index of the controller.
     pub controller: usize,
+    /// Number of the connection.
     pub connection: usize,
-    /// Which of that connection's lives it was written on.
-    pub life: u32,
+    /// Generation of the connection on which it was sent.
+    pub generation: u32,
+    /// When it was sent.
     pub sent: Instant,
-    pub within: Duration,
-    /// The caller left, and is owed nothing more.
-    pub gave_up: Option<Instant>,
-    /// Final answers to it, with their status.
+    /// Time in which an answer is requested.
+    pub answer_timeout: Duration,
+    /// When the caller cancelled it; no final answer is required after that.
+    pub cancelled_at: Option<Instant>,
+    /// Final answers: time, status.
     pub answers: Vec<(Instant, u16)>,
-    /// Releases of the call, with their cause.
+    /// Releases of the call: time, cause.
     pub releases: Vec<(Instant, u8)>,
 }
 
-/// All requests, by the call's id.
+/// All requests by the id of their call.
 pub type Requests = Rc<RefCell<HashMap<u64, Request>>>;
 
-/// One life of a connection: when it ended, and why that may lose what is on it.
+/// The end of one generation of a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct ConnectionEnd {
+    /// Index of the controller.
     pub controller: usize,
+    /// Number of the connection.
     pub connection: usize,
-    pub life: u32,
+    /// The generation.
+    pub generation: u32,
+    /// When it ended.
     pub at: Instant,
 }
 
-/// One connection of callers, made again whenever it ends.
+/// A connection of callers that reconnects whenever it is closed. Each reconnect starts a new generation.
 pub struct Connection {
     controller: usize,
     number: usize,
-    to: SocketAddr,
+    address: SocketAddr,
     requests: Requests,
-    ended: Rc<RefCell<Vec<Ended>>>,
+    ends: Rc<RefCell<Vec<ConnectionEnd>>>,
     out: RefCell<Option<mpsc::UnboundedSender<Vec<u8>>>>,
-    life: Cell<u32>,
-    /// No new connection is made, as of callers that the front sends elsewhere.
-    away: Cell<bool>,
-    /// It is not made again once it has ended.
-    once: Cell<bool>,
+    generation: Cell<u32>,
+    /// Whether reconnects are suspended, as for callers that are directed to another controller.
+    reconnects_paused: Cell<bool>,
+    /// Whether it ends for good once it is closed.
+    reconnects_disabled: Cell<bool>,
 }
 
 impl Connection {
-    /// Starts one.
+    /// Starts a task that connects and reconnects.
     pub fn start(
         controller: usize,
         number: usize,
-        to: SocketAddr,
+        address: SocketAddr,
         requests: &Requests,
-        ended: &Rc<RefCell<Vec<Ended>>>,
+        ends: &Rc<RefCell<Vec<ConnectionEnd>>>,
     ) -> Rc<Connection> {
         let connection = Rc::new(Connection {
             controller,
             number,
-            to,
+            address,
             requests: requests.clone(),
-            ended: ended.clone(),
+            ends: ends.clone(),
             out: RefCell::default(),
-            life: Cell::new(0),
-            away: Cell::new(false),
-            once: Cell::new(false),
+            generation: Cell::new(0),
+            reconnects_paused: Cell::new(false),
+            reconnects_disabled: Cell::new(false),
         });
         spawn_local(connection.clone().run());
         connection
     }
 
+    /// Connects and handles messages, again after each end of the connection.
     async fn run(self: Rc<Connection>) {
         loop {
-            let connected = if self.away.get() { None } else { TcpStream::connect(self.to).await.ok() };
+            let connected =
+                if self.reconnects_paused.get() { None } else { TcpStream::connect(self.address).await.ok() };
             let Some(stream) = connected else {
-                sleep(RECONNECT).await;
+                sleep(RECONNECT_INTERVAL).await;
                 continue;
             };
             let _ = stream.set_nodelay(true);
             let (mut read, mut write) = stream.into_split();
             let (sender, mut out) = mpsc::unbounded_channel::<Vec<u8>>();
-            self.life.set(self.life.get() + 1);
+            self.generation.set(self.generation.get() + 1);
             *self.out.borrow_mut() = Some(sender);
             let writer = spawn_local(async move {
                 while let Some(bytes) = out.recv().await {
@@ -104,20 +115,26 @@
             while read.read_buf(&mut input).await.is_ok_and(|count| count > 0) {
                 while let Ok(Some(message)) = sip::parse(&input) {
                     let bytes = message.bytes;
-                    self.hear(&message);
+                    self.handle_message(&message);
                     input.drain(..bytes);
                 }
             }
             *self.out.borrow_mut() = None;
             writer.abort();
-            let (controller, connection, life) = (self.controller, self.number, self.life.get());
-            self.ended.borrow_mut().push(Ended { controller, connection, life, at: Instant::now() });
-            if self.once.get() {
+            let (controller, connection, generation) = (self.controller, self.number, self.generation.get());
+            self.ends.borrow_mut().push(ConnectionEnd {
+                controller,
+                connection,
+                generation,
+                at: Instant::now(),
+            });
+            if self.reconnects_disabled.get() {
                 return;
             }
         }
     }
 
+    /// Sends a request. Returns `false` if the connection is closed.
     fn write(&self, method: &str, call: u64, more: &str, body: &str) -> bool {
         let text = format!(
             "{method} sip:{call:x}@net SIP/2.0\r\nVia: SIP/2.0/TCP soak\r\nCall-ID: {call:016x}\r\nCSeq: 1 {method}\r\n\
@@ -127,31 +144,31 @@
         self.out.borrow().as_ref().is_some_and(|out| out.send(text.into_bytes()).is_ok())
     }
 
-    /// Whose callers these are.
+    /// Returns the index of the controller.
     pub fn controller(&self) -> usize {
         self.controller
     }
 
-    /// Has no new connection made for now.
-    pub fn set_away(&self, away: bool) {
-        self.away.set(away);
+    /// Suspends reconnects, or allows them again.
+    pub fn pause_reconnects(&self, paused: bool) {
+        self.reconnects_paused.set(paused);
     }
 
-    /// Has no connection made after this one.
-    pub fn leave_for_good(&self) {
-        self.once.set(true);
+    /// Disables reconnects for good.
+    pub fn disable_reconnects(&self) {
+        self.reconnects_disabled.set(true);
     }
 
-    /// Whether it is up.
+    /// Whether the connection is established.
     pub fn is_open(&self) -> bool {
         self.out.borrow().is_some()
     }
 
-    /// Sends a set-up; nothing happens where the connection is down.
-    pub fn invite(&self, call: u64, class: &str, place: usize, within: Duration) {
+    /// Sends a set-up. If the connection is closed, nothing is sent or recorded.
+    pub fn invite(&self, call: u64, class: &str, place: usize, answer_timeout: Duration) {
         let more = format!(
             "Call-Kind: {class}\r\nAnswer-Within: {}\r\nRouting-Data: dest:{place};width:1;via:-1\r\n",
-            within.as_millis()
+            answer_timeout.as_millis()
         );
         if !self.write("INVITE", call, &more, "v=0\r\n") {
             return;
@@ -159,26 +176,27 @@
         let request = Request {
             controller: self.controller,
             connection: self.number,
-            life: self.life.get(),
+            generation: self.generation.get(),
             sent: Instant::now(),
-            within,
-            gave_up: None,
+            answer_timeout,
+            cancelled_at: None,
             answers: Vec::new(),
             releases: Vec::new(),
         };
         self.requests.borrow_mut().insert(call, request);
     }
 
-    /// The caller gives its set-up up.
+    /// Cancels a set-up.
     pub fn cancel(&self, call: u64) {
         if self.write("CANCEL", call, "", "") {
             if let Some(request) = self.requests.borrow_mut().get_mut(&call) {
-                request.gave_up.get_or_insert(Instant::now());
+                request.cancelled_at.get_or_insert(Instant::now());
             }
         }
     }
 
-    fn hear(&self, message: &sip::Message) {
+    /// Records a response or release, and acknowledges it.
+    fn handle_message(&self, message: &sip::Message) {
         let call = message.header("Call-ID").and_then(|v| u64::from_str_radix(v, 16).ok()).unwrap_or(0);
         let now = Instant::now();
         let mut requests = self.requests.borrow_mut();
--- a/lab/src/soak/hub.rs
+++ b/lab/src/soak/hub.rs
@@ -1,4 +1,4 @@
-//! A stand-in table hub that can be frozen, cut off, killed and started again at its address.
+//! A simulated table hub that can be frozen, cut off, killed and restarted at the same address.
 
 use petreldock::net::binary::{self, code, kind};
 use rand::rngs::StdRng;
@@ -16,117 +16,148 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout, Duration, Instant};
 
-const MEAN_ANSWER_S: f64 = 0.03;
-const MEAN_HOLD_S: f64 = 3.0;
-/// Of a thousand set-ups: refused as full, answered late, never answered.
-const FULL_PER_MILLE: u32 = 30;
-const LATE_PER_MILLE: u32 = 20;
-const LOST_PER_MILLE: u32 = 10;
-const LATE: Duration = Duration::from_millis(2_600);
+/// Mean delay of an answer, exponentially distributed, in seconds.
+const MEAN_ANSWER_DELAY_S: f64 = 0.03;
+/// Mean duration of a call, exponentially distributed, in seconds.
+const MEAN_CALL_DURATION_S: f64 = 3.0;
+/// Share of set-ups that are refused for lack of capacity.
+const REFUSED_PER_MILLE: u32 = 30;
+/// Share of set-ups that are answered late.
+const LATE_ANSWER_PER_MILLE: u32 = 20;
+/// Share of set-ups that are never answered.
+const UNANSWERED_PER_MILLE: u32 = 10;
+/// Delay of a late answer.
+const LATE_ANSWER_DELAY: Duration = Duration::from_millis(2_600);
+/// A state report is sent on a connection after this much time without a message.
 const STATE_INTERVAL: Duration = Duration::from_millis(700);
-/// A release is repeated on connections that come up within this.
-const REPEATED_FOR: Duration = Duration::from_secs(1);
-/// An answer and the end of its connection cross within this.
-const CROSSING: Duration = Duration::from_millis(100);
-/// A dial that takes longer shows that the accept queue is full.
-const QUEUE_FULL: Duration = Duration::from_millis(150);
-
-/// What a hub saw of a call.
+/// A release is repeated on each connection that is accepted within this time after it.
+const RELEASE_REPEAT_WINDOW: Duration = Duration::from_secs(1);
+/// An answer sent less than this before its connection closes may not have reached the controller.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(100);
+/// If connecting takes longer than this, the accept queue is full.
+const FULL_QUEUE_TIMEOUT: Duration = Duration::from_millis(150);
+
+/// What happened to a call at a hub.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum HubEventKind {
+    /// The hub received a set-up.
     SetUp,
+    /// The hub refused the set-up.
     Refused,
+    /// The hub answered the set-up.
     Answered,
-    /// The controller gave a set-up up, or its connection closed under it.
+    /// The controller gave the set-up up, or its connection closed before the answer.
     GivenUp,
-    /// The controller released a call that stood.
+    /// The controller released the established call.
     ReleasedByController,
-    /// The call came to its end; its release is written to the controller, if `told`.
+    /// The call ended at the hub.
     Ended {
-        told: bool,
+        /// Whether the release has been sent to the controller.
+        release_sent: bool,
     },
-    /// The process died, and the call with it.
+    /// The process of the hub died while the call was established.
     Died,
 }
 
-/// One thing that a hub saw, and when.
+/// An event of a call at a hub.
 #[derive(Clone, Copy, Debug)]
-pub struct Event {
+pub struct HubEvent {
+    /// When it happened.
     pub at: Instant,
+    /// The call.
     pub call: u64,
+    /// Number of the hub.
     pub hub: usize,
-    pub seen: Seen,
+    /// What happened.
+    pub kind: HubEventKind,
 }
 
-/// What all hubs saw, in the order of time.
-pub type Record = Rc<RefCell<Vec<Event>>>;
+/// Events of all hubs in chronological order.
+pub type HubRecord = Rc<RefCell<Vec<HubEvent>>>;
 
-type Out = mpsc::UnboundedSender<Vec<u8>>;
+/// Queue of encoded messages to be written to a connection.
+type MessageSender = mpsc::UnboundedSender<Vec<u8>>;
 
+/// A call at a hub.
 struct Call {
-    out: Out,
-    stands: bool,
-    answered: Option<Instant>,
+    /// Queue of the connection on which it was set up.
+    out: MessageSender,
+    /// Whether it has been answered.
+    established: bool,
+    /// When it was answered.
+    answered_at: Option<Instant>,
 }
 
+/// State that is lost when the process of the hub dies.
 struct Process {
     calls: HashMap<u64, Call>,
-    links: Vec<Out>,
-    /// Releases that no open connection could take; the next one that is opened does.
-    untold: Vec<u64>,
-    /// Releases that were told lately, and are repeated on a connection that comes up soon.
-    told: Vec<(Instant, u64)>,
+    /// Queues of the open connections.
+    connections: Vec<MessageSender>,
+    /// Calls that ended while there was no connection; they are released on the next one.
+    unsent_releases: Vec<u64>,
+    /// Recently sent releases, to be repeated on new connections.
+    recent_releases: Vec<(Instant, u64)>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// A hub: its address outlives its processes.
+/// A simulated hub; its address and uid stay the same for all its processes.
 pub struct Hub {
+    /// Its uid in the change log.
     pub uid: String,
+    /// Address on which it listens.
     pub address: SocketAddr,
+    /// Its place.
     pub place: usize,
-    /// Keeps the address while nobody listens there.
-    _reserved: TcpSocket,
+    /// Reserves the address while no socket listens on it.
+    _reservation: TcpSocket,
     listener: Option<Rc<TcpListener>>,
     number: usize,
     process: Rc<RefCell<Process>>,
+    /// Whether the process is frozen.
     frozen: watch::Sender<bool>,
-    record: Record,
+    record: HubRecord,
     rng: Rc<RefCell<StdRng>>,
-    accepting: Option<JoinHandle<()>>,
-    filling: Vec<TcpStream>,
+    accept_task: Option<JoinHandle<()>>,
+    /// Connections that fill the accept queue.
+    queue_fillers: Vec<TcpStream>,
 }
 
+/// Encodes a message.
 fn message(kind: u8, call: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
     let mut bytes = Vec::new();
     binary::write(&mut bytes, kind, call, parameters);
     bytes
 }
 
-/// What the tasks of one process share.
+/// State shared by the tasks of a process.
 #[derive(Clone)]
 struct Shared {
     number: usize,
     process: Rc<RefCell<Process>>,
     frozen: watch::Receiver<bool>,
-    record: Record,
+    record: HubRecord,
     rng: Rc<RefCell<StdRng>>,
 }
 
 impl Shared {
-    fn note(&self, call: u64, seen: Seen) {
-        self.record.borrow_mut().push(Event { at: Instant::now(), call, hub: self.number, seen });
+    /// Records an event.
+    fn record_event(&self, call: u64, kind: HubEventKind) {
+        self.record.borrow_mut().push(HubEvent { at: Instant::now(), call, hub: self.number, kind });
     }
 
-    async fn thawed(&self) {
+    /// Waits while the hub is frozen.
+    async fn wait_until_resumed(&self) {
         let _ = self.frozen.clone().wait_for(|frozen| !frozen).await;
     }
 
+    /// Encodes a state report.
     fn state(&self) -> Vec<u8> {
-        let standing = self.process.borrow().calls.values().filter(|c| c.stands).count();
-        let report = format!("x0:{};x1:2000;qps:60", 2000 - standing);
+        let established_count = self.process.borrow().calls.values().filter(|c| c.established).count();
+        let report = format!("x0:{};x1:2000;qps:60", 2000 - established_count);
         message(kind::STATE, 0, &[(code::REPORT, report.as_bytes())])
     }
 
+    /// Spawns a task that is aborted when the connections are closed.
     fn spawn(&self, task: impl std::future::Future<Output = ()> + 'static) {
         let handle = spawn_local(task);
         let mut process = self.process.borrow_mut();
@@ -134,63 +165,73 @@
         process.tasks.push(handle);
     }
 
-    fn connected(&self, stream: TcpStream) {
+    /// Starts the tasks that read from and write to a new connection.
+    fn serve_connection(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
         let (out, queue) = mpsc::unbounded_channel();
         let shared = self.clone();
-        self.spawn(write_out(write, queue, shared.clone()));
+        self.spawn(write_messages(write, queue, shared.clone()));
         self.spawn(async move { shared.serve(read, out).await });
     }
 
-    async fn serve(self, mut read: OwnedReadHalf, out: Out) {
-        self.thawed().await;
+    /// Sends outstanding releases on a new connection and handles its messages until it is closed.
+    async fn serve(self, mut read: OwnedReadHalf, out: MessageSender) {
+        self.wait_until_resumed().await;
         let _ = out.send(self.state());
-        let untold = std::mem::take(&mut self.process.borrow_mut().untold);
-        for call in untold {
+        let unsent_releases = std::mem::take(&mut self.process.borrow_mut().unsent_releases);
+        for call in unsent_releases {
             self.release(call, &out);
         }
-        let mut told = std::mem::take(&mut self.process.borrow_mut().told);
-        told.retain(|(at, _)| at.elapsed() < REPEATED_FOR);
-        for (_, call) in &told {
+        let mut recent_releases = std::mem::take(&mut self.process.borrow_mut().recent_releases);
+        recent_releases.retain(|(at, _)| at.elapsed() < RELEASE_REPEAT_WINDOW);
+        for (_, call) in &recent_releases {
             let _ = out.send(message(kind::RELEASE, *call, &[(code::CAUSE, &[16])]));
-            self.note(*call, Seen::Ended { told: true });
+            self.record_event(*call, HubEventKind::Ended { release_sent: true });
         }
-        self.process.borrow_mut().told = told;
-        self.process.borrow_mut().links.push(out.clone());
+        self.process.borrow_mut().recent_releases = recent_releases;
+        self.process.borrow_mut().connections.push(out.clone());
         let mut input = Vec::new();
         while read.read_buf(&mut input).await.is_ok_and(|count| count > 0) {
-            self.thawed().await;
-            let mut taken = 0;
-            while let Ok(Some(message)) = binary::parse(&input[taken..]) {
-                taken += message.bytes;
-                self.hear(message.kind, message.call, &out);
+            self.wait_until_resumed().await;
+            let mut consumed = 0;
+            while let Ok(Some(message)) = binary::parse(&input[consumed..]) {
+                consumed += message.bytes;
+                self.handle_message(message.kind, message.call, &out);
             }
-            input.drain(..taken);
+            input.drain(..consumed);
         }
-        self.thawed().await;
+        self.wait_until_resumed().await;
         let mut process = self.process.borrow_mut();
-        process.links.retain(|link| !link.same_channel(&out));
-        let lost = process.calls.iter().filter(|(_, c)| !c.stands && c.out.same_channel(&out));
-        let lost: Vec<u64> = lost.map(|(call, _)| *call).collect();
-        for call in lost {
+        process.connections.retain(|connection| !connection.same_channel(&out));
+        let unanswered = process.calls.iter().filter(|(_, c)| !c.established && c.out.same_channel(&out));
+        let unanswered: Vec<u64> = unanswered.map(|(call, _)| *call).collect();
+        for call in unanswered {
             process.calls.remove(&call);
-            self.note(call, Seen::GivenUp);
+            self.record_event(call, HubEventKind::GivenUp);
         }
-        // An answer that crosses the end of its connection may never have come: its set-up is given up too.
-        let crossed = |c: &Call| c.answered.is_some_and(|at| at.elapsed() < CROSSING);
-        for (call, _) in process.calls.iter().filter(|(_, c)| c.out.same_channel(&out) && crossed(c)) {
-            self.note(*call, Seen::GivenUp);
+        // An answer sent just before its connection closed may not have arrived: its set-up counts as given up too.
+        let is_race = |c: &Call| c.answered_at.is_some_and(|at| at.elapsed() < CLOSE_RACE_WINDOW);
+        for (call, _) in process.calls.iter().filter(|(_, c)| c.out.same_channel(&out) && is_race(c)) {
+            self.record_event(*call, HubEventKind::GivenUp);
         }
     }
 
-    fn hear(&self, kind: u8, call: u64, out: &Out) {
+    /// Handles a message from the controller.
+    fn handle_message(&self, kind: u8, call: u64, out: &MessageSender) {
         match kind {
             kind::SET_UP => self.set_up(call, out),
             kind::RELEASE => {
-                if let Some(known) = self.process.borrow_mut().calls.remove(&call) {
-                    let stood = known.stands;
-                    self.note(call, if stood { Seen::ReleasedByController } else { Seen::GivenUp });
+                if let Some(entry) = self.process.borrow_mut().calls.remove(&call) {
+                    let was_established = entry.established;
+                    self.record_event(
+                        call,
+                        if was_established {
+                            HubEventKind::ReleasedByController
+                        } else {
+                            HubEventKind::GivenUp
+                        },
+                    );
                 }
             }
             kind::TEST => {
@@ -200,77 +241,91 @@
         }
     }
 
-    fn set_up(&self, call: u64, out: &Out) {
-        self.note(call, Seen::SetUp);
-        let (fate, answer_s, hold_s) = {
+    /// Handles a set-up with a randomly drawn outcome.
+    fn set_up(&self, call: u64, out: &MessageSender) {
+        self.record_event(call, HubEventKind::SetUp);
+        let (outcome, answer_delay_s, duration_s) = {
             let mut rng = self.rng.borrow_mut();
-            let fate: u32 = rng.random_range(0..1000);
+            let outcome: u32 = rng.random_range(0..1000);
             let mut draw = |mean: f64| Exp::new(1.0 / mean).map_or(mean, |e| e.sample(&mut *rng));
-            (fate, draw(MEAN_ANSWER_S), draw(MEAN_HOLD_S))
+            (outcome, draw(MEAN_ANSWER_DELAY_S), draw(MEAN_CALL_DURATION_S))
         };
-        if fate < FULL_PER_MILLE {
+        if outcome < REFUSED_PER_MILLE {
             let _ =
                 out.send(message(kind::RELEASE, call, &[(code::CAUSE, &[34]), (code::NOTE, b"throttled")]));
-            return self.note(call, Seen::Refused);
+            return self.record_event(call, HubEventKind::Refused);
         }
-        let answer = match fate {
-            fate if fate < FULL_PER_MILLE + LATE_PER_MILLE => Some(LATE),
-            fate if fate < FULL_PER_MILLE + LATE_PER_MILLE + LOST_PER_MILLE => None,
-            _ => Some(Duration::from_secs_f64(answer_s)),
+        let answer_delay = match outcome {
+            outcome if outcome < REFUSED_PER_MILLE + LATE_ANSWER_PER_MILLE => Some(LATE_ANSWER_DELAY),
+            outcome if outcome < REFUSED_PER_MILLE + LATE_ANSWER_PER_MILLE + UNANSWERED_PER_MILLE => None,
+            _ => Some(Duration::from_secs_f64(answer_delay_s)),
         };
-        let known = Call { out: out.clone(), stands: false, answered: None };
-        self.process.borrow_mut().calls.insert(call, known);
-        let Some(answer) = answer else { return };
+        let entry = Call { out: out.clone(), established: false, answered_at: None };
+        self.process.borrow_mut().calls.insert(call, entry);
+        let Some(answer_delay) = answer_delay else { return };
         let shared = self.clone();
-        self.spawn(async move { shared.carry(call, answer, Duration::from_secs_f64(hold_s)).await });
+        self.spawn(
+            async move { shared.run_call(call, answer_delay, Duration::from_secs_f64(duration_s)).await },
+        );
     }
 
-    async fn carry(self, call: u64, answer: Duration, hold: Duration) {
-        sleep(answer).await;
-        self.thawed().await;
+    /// Answers a call after a delay and ends it after its duration.
+    async fn run_call(self, call: u64, answer_delay: Duration, duration: Duration) {
+        sleep(answer_delay).await;
+        self.wait_until_resumed().await;
         {
             let mut process = self.process.borrow_mut();
-            let Some(known) = process.calls.get_mut(&call) else { return };
-            known.stands = true;
-            known.answered = Some(Instant::now());
-            let _ = known.out.send(message(kind::ANSWER, call, &[(code::DESCRIPTION, b"v=0\r\n")]));
-            self.note(call, Seen::Answered);
+            let Some(entry) = process.calls.get_mut(&call) else { return };
+            entry.established = true;
+            entry.answered_at = Some(Instant::now());
+            let _ = entry.out.send(message(kind::ANSWER, call, &[(code::DESCRIPTION, b"v=0\r\n")]));
+            self.record_event(call, HubEventKind::Answered);
         }
-        sleep(hold).await;
-        self.thawed().await;
+        sleep(duration).await;
+        self.wait_until_resumed().await;
         let process = self.process.borrow();
-        let Some(known) = process.calls.get(&call) else { return };
-        let own = known.out.clone();
-        let open =
-            process.links.iter().find(|link| link.same_channel(&own)).or(process.links.last()).cloned();
+        let Some(entry) = process.calls.get(&call) else { return };
+        let original = entry.out.clone();
+        let sender = process
+            .connections
+            .iter()
+            .find(|connection| connection.same_channel(&original))
+            .or(process.connections.last())
+            .cloned();
         drop(process);
-        match open {
+        match sender {
             Some(out) => self.release(call, &out),
             None => {
-                self.process.borrow_mut().untold.push(call);
-                self.note(call, Seen::Ended { told: false });
+                self.process.borrow_mut().unsent_releases.push(call);
+                self.record_event(call, HubEventKind::Ended { release_sent: false });
             }
         }
     }
 
-    fn release(&self, call: u64, out: &Out) {
-        let known = self.process.borrow_mut().calls.remove(&call).is_some();
-        if known {
-            self.process.borrow_mut().told.push((Instant::now(), call));
+    /// Ends a call, if it still exists, and sends its release.
+    fn release(&self, call: u64, out: &MessageSender) {
+        let existed = self.process.borrow_mut().calls.remove(&call).is_some();
+        if existed {
+            self.process.borrow_mut().recent_releases.push((Instant::now(), call));
             let _ = out.send(message(kind::RELEASE, call, &[(code::CAUSE, &[16])]));
-            self.note(call, Seen::Ended { told: true });
+            self.record_event(call, HubEventKind::Ended { release_sent: true });
         }
     }
 }
 
-async fn write_out(mut write: OwnedWriteHalf, mut queue: mpsc::UnboundedReceiver<Vec<u8>>, shared: Shared) {
+/// Writes queued messages, and a state report whenever there is none for [`STATE_INTERVAL`].
+async fn write_messages(
+    mut write: OwnedWriteHalf,
+    mut queue: mpsc::UnboundedReceiver<Vec<u8>>,
+    shared: Shared,
+) {
     loop {
         let next = tokio::select! {
             next = queue.recv() => next,
             () = sleep(STATE_INTERVAL) => Some(shared.state()),
         };
         let Some(bytes) = next else { return };
-        shared.thawed().await;
+        shared.wait_until_resumed().await;
         if write.write_all(&bytes).await.is_err() {
             return;
         }
@@ -278,22 +333,22 @@
 }
 
 impl Hub {
-    /// Starts one; its uid is made of its number and start.
-    pub fn start(number: usize, record: &Record, rng: StdRng) -> io::Result<Hub> {
-        let reserved = bound(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+    /// Starts a hub on a free port, with its number as its place and in its uid.
+    pub fn start(number: usize, record: &HubRecord, rng: StdRng) -> io::Result<Hub> {
+        let reservation = bind_shared(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let mut hub = Hub {
             uid: format!("s-{number}"),
-            address: reserved.local_addr()?,
+            address: reservation.local_addr()?,
             place: number,
-            _reserved: reserved,
+            _reservation: reservation,
             listener: None,
             number,
             process: Rc::new(RefCell::new(Hub::new_process())),
             frozen: watch::Sender::new(false),
             record: record.clone(),
             rng: Rc::new(RefCell::new(rng)),
-            accepting: None,
-            filling: Vec::new(),
+            accept_task: None,
+            queue_fillers: Vec::new(),
         };
         hub.accept()?;
         Ok(hub)
@@ -302,9 +357,9 @@
     fn new_process() -> Process {
         Process {
             calls: HashMap::new(),
-            links: Vec::new(),
-            untold: Vec::new(),
-            told: Vec::new(),
+            connections: Vec::new(),
+            unsent_releases: Vec::new(),
+            recent_releases: Vec::new(),
             tasks: Vec::new(),
         }
     }
@@ -319,90 +374,98 @@
         }
     }
 
+    /// Listens, unless it does already, and starts to accept connections.
     fn accept(&mut self) -> io::Result<()> {
         let listener = match self.listener.take() {
             Some(listener) => listener,
-            None => Rc::new(bound(self.address)?.listen(1)?),
+            None => Rc::new(bind_shared(self.address)?.listen(1)?),
         };
         self.listener = Some(listener.clone());
         let shared = self.shared();
-        self.accepting = Some(spawn_local(async move {
+        self.accept_task = Some(spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                shared.connected(stream);
+                shared.serve_connection(stream);
             }
         }));
         Ok(())
     }
 
+    /// Stops accepting connections; the socket continues to listen.
     async fn stop_accepting(&mut self) {
-        if let Some(accepting) = self.accepting.take() {
-            accepting.abort();
-            let _ = accepting.await;
+        if let Some(accept_task) = self.accept_task.take() {
+            accept_task.abort();
+            let _ = accept_task.await;
         }
     }
 
-    /// The process stands still; its kernel goes on accepting connections, as many as its queue takes.
-    pub fn hang(&mut self) {
+    /// Freezes the process. New connections are still established, as by the kernel of a suspended process.
+    pub fn freeze(&mut self) {
         self.frozen.send_replace(true);
     }
 
-    /// Nothing goes to it or comes from it; new connections never come up, once the accept queue is full.
-    pub async fn cut_off(&mut self, queue_takes: usize) {
+    /// Simulates a network failure: the hub neither reads nor sends, and no new connection is established once the accept
+    /// queue, of which `free_queue_slots` slots stay free, is full.
+    pub async fn cut_off(&mut self, free_queue_slots: usize) {
         self.frozen.send_replace(true);
         self.stop_accepting().await;
-        while self.filling.len() + queue_takes < 3 {
-            let Ok(Ok(stream)) = timeout(QUEUE_FULL, TcpStream::connect(self.address)).await else { return };
-            self.filling.push(stream);
+        while self.queue_fillers.len() + free_queue_slots < 3 {
+            let Ok(Ok(stream)) = timeout(FULL_QUEUE_TIMEOUT, TcpStream::connect(self.address)).await else {
+                return;
+            };
+            self.queue_fillers.push(stream);
         }
     }
 
-    /// It goes on where it stopped.
+    /// Ends a freeze or network failure; the process continues with its state intact.
     pub fn resume(&mut self) -> io::Result<()> {
-        self.filling.clear();
+        self.queue_fillers.clear();
         self.frozen.send_replace(false);
-        match self.accepting {
+        match self.accept_task {
             Some(_) => Ok(()),
             None => self.accept(),
         }
     }
 
-    /// The process has died, whatever the network shows of it: its calls are over.
-    pub fn calls_die(&self) {
+    /// Ends all calls, as when the process has died, without closing connections.
+    pub fn end_all_calls(&self) {
         let shared = self.shared();
         let mut process = self.process.borrow_mut();
-        for (call, known) in std::mem::take(&mut process.calls) {
-            shared.note(call, if known.stands { Seen::Died } else { Seen::GivenUp });
+        for (call, entry) in std::mem::take(&mut process.calls) {
+            shared.record_event(
+                call,
+                if entry.established { HubEventKind::Died } else { HubEventKind::GivenUp },
+            );
         }
     }
 
-    /// All its connections end, with whatever was open on them.
-    pub fn end_connections(&self) {
+    /// Closes all connections and aborts the tasks of the calls.
+    pub fn close_connections(&self) {
         let mut process = self.process.borrow_mut();
         process.tasks.drain(..).for_each(|task| task.abort());
-        process.links.clear();
+        process.connections.clear();
     }
 
-    /// A new process under the same uid and address, that knows nothing.
-    pub async fn start_again(&mut self) -> io::Result<()> {
-        self.end_connections();
+    /// Replaces the process by a new one without state, under the same uid and address.
+    pub async fn restart(&mut self) -> io::Result<()> {
+        self.close_connections();
         self.process = Rc::new(RefCell::new(Hub::new_process()));
-        self.filling.clear();
+        self.queue_fillers.clear();
         self.stop_accepting().await;
         self.frozen = watch::Sender::new(false);
         self.accept()
     }
 
-    /// Its process dies: connections end, its calls are over, and new connections are refused.
+    /// Kills the process: its calls end, its connections are closed, and new connections are refused.
     pub async fn kill(&mut self) {
-        self.calls_die();
+        self.end_all_calls();
         self.stop_accepting().await;
         self.listener = None;
-        self.end_connections();
+        self.close_connections();
     }
 }
 
-/// A socket that keeps an address and may share it with one that listens.
-pub(super) fn bound(address: SocketAddr) -> io::Result<TcpSocket> {
+/// Binds a socket with `SO_REUSEADDR`, which reserves the address but lets another such socket listen on it.
+pub(super) fn bind_shared(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -1,6 +1,6 @@
-//! A short, dense soak: a few started controllers, hubs that hang, vanish, are cut off, reset and replaced, signals
-//! in series, a silent change log and a crowd of callers, all drawn from one seed. The records are judged after the
-//! run ([`mod@audit`]).
+//! A short soak with many faults: controller processes that receive signals and are replaced, hubs that freeze, fail,
+//! are cut off, reset connections and restart, an unresponsive change log and a burst of callers, all drawn from one
+//! seed. The records are checked after the run ([`mod@audit`]).
 
 pub mod audit;
 pub mod caller;
@@ -8,10 +8,10 @@
 pub mod hub;
 
 use crate::program::{target, ChangeLog, Site};
-use audit::{audit, Findings, Known, Span};
-use caller::{Connection, Ended, Requests};
+use audit::{audit, Findings, Period, RunFacts};
+use caller::{Connection, ConnectionEnd, Requests};
 use controller::Controller;
-use hub::{Hub, Record};
+use hub::{Hub, HubRecord};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -24,272 +24,298 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, sleep_until, Duration, Instant};
 
+/// Number of controllers.
 const CONTROLLERS: usize = 2;
+/// Number of hubs.
 const HUBS: usize = 3;
-const CONNECTIONS: usize = 3;
-/// Calls a second that the callers of one controller bring.
-const RATE: f64 = 25.0;
+/// Number of persistent connections to each controller.
+const CONNECTIONS_PER_CONTROLLER: usize = 3;
+/// Mean rate of calls to each controller.
+const CALLS_PER_SECOND: f64 = 25.0;
+/// Class of the calls.
 const CLASS: &str = "seat-lookup";
-/// SIGKILL comes this long after SIGTERM: the longest deadline, counted as 3 s at most, and 0.7 s.
-const KILL_AFTER: Duration = Duration::from_millis(3_700);
-/// New connections come for so long after SIGTERM.
-const CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(400);
-const CROWD: usize = 150;
-/// What a frozen or reset hub said before may still be lost so long after it goes on.
-const FAULT_TAIL: Duration = Duration::from_millis(500);
-/// Faults begin in this part of a run, in seconds, and are over early enough for their consequences to be judged.
-const FAULTS_FROM_S: f64 = 2.0;
-const FAULTS_TO_S: f64 = 6.0;
-/// Calls come until so long before the end of a run.
-const QUIET_END_S: f64 = 6.0;
-/// How often the run looks whether it is held up, and how much of that makes a run void.
-const WATCH_INTERVAL: Duration = Duration::from_millis(10);
-const MAX_HELD_UP: Duration = Duration::from_millis(100);
+/// Time from SIGTERM to SIGKILL: the longest deadline, of which at most 3 s count, plus 0.7 s.
+const SIGKILL_DELAY: Duration = Duration::from_millis(3_700);
+/// Callers still reconnect for this long after SIGTERM.
+const RECONNECT_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(400);
+/// Number of callers in a burst.
+const BURST_SIZE: usize = 150;
+/// Messages that a hub sent before a fault may still be lost for this long after the fault ends.
+const FAULT_EFFECT_TIME: Duration = Duration::from_millis(500);
+/// Earliest start of faults, in seconds.
+const FAULT_START_MIN_S: f64 = 2.0;
+/// Latest start of faults, in seconds; early enough for the consequences to be recorded.
+const FAULT_START_MAX_S: f64 = 6.0;
+/// No call is placed in this many seconds before the end of a run.
+const QUIET_TIME_S: f64 = 6.0;
+/// Interval of the check whether the run itself stalls.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// A run with a longer stall is void.
+const MAX_VALID_STALL: Duration = Duration::from_millis(100);
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program.
+    /// Path of the program.
     pub binary: PathBuf,
-    /// How long a run takes, in seconds.
+    /// Length of the run in seconds.
     pub length_s: f64,
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// What was done, and when.
-    pub script: Vec<String>,
+    /// Log of the actions of the run, with their time in seconds.
+    pub actions: Vec<String>,
+    /// Findings of the audit.
     pub findings: Findings,
-    /// The longest that the run itself was held up.
-    pub held_up: Duration,
+    /// Longest stall of the run itself.
+    pub max_stall: Duration,
 }
 
 impl Report {
-    /// The run was held up for so long that its times prove nothing.
+    /// Whether the run stalled for so long that its recorded times are not reliable.
     pub fn is_void(&self) -> bool {
-        self.held_up > MAX_HELD_UP
+        self.max_stall > MAX_VALID_STALL
     }
 }
 
-/// A run's parties and what is known of them.
+/// State of a run, shared by its tasks.
 #[derive(Clone)]
 struct Run {
     start: Instant,
     log: ChangeLog,
-    known: Rc<RefCell<Known>>,
-    script: Rc<RefCell<Vec<String>>>,
-    record: Record,
+    facts: Rc<RefCell<RunFacts>>,
+    actions: Rc<RefCell<Vec<String>>>,
+    record: HubRecord,
     requests: Requests,
-    ended: Rc<RefCell<Vec<Ended>>>,
+    connection_ends: Rc<RefCell<Vec<ConnectionEnd>>>,
     connections: Rc<RefCell<Vec<Rc<Connection>>>>,
-    calls: Rc<Cell<u64>>,
+    last_call: Rc<Cell<u64>>,
 }
 
 impl Run {
-    fn say(&self, what: String) {
+    /// Logs an action.
+    fn log_action(&self, what: String) {
         let at = self.start.elapsed().as_secs_f64();
-        self.script.borrow_mut().push(format!("{at:6.2} {what}"));
+        self.actions.borrow_mut().push(format!("{at:6.2} {what}"));
     }
 
-    fn tell(&self, hub: &Hub, state: &str, boot_ms: u64) {
-        self.say(format!("list: {} {state}", hub.uid));
+    /// Publishes the state of a hub in the change log.
+    fn publish(&self, hub: &Hub, state: &str, boot_ms: u64) {
+        self.log_action(format!("change log: {} {state}", hub.uid));
         self.log.tell(false, &[target(&hub.uid, hub.address, hub.place, state, boot_ms)]);
     }
 
-    fn fault(&self, hub: usize, from: Instant) {
-        let to = Instant::now() + FAULT_TAIL;
-        self.known.borrow_mut().faults.push(Span { whose: hub, from, to });
+    /// Records a fault of a hub that ends now.
+    fn add_fault(&self, hub: usize, from: Instant) {
+        let to = Instant::now() + FAULT_EFFECT_TIME;
+        self.facts.borrow_mut().hub_faults.push(Period { index: hub, from, to });
     }
 
-    /// The configuration of a controller that starts now.
+    /// Returns the configuration for a controller that starts now.
     fn document(&self, site: &Site, controller: usize, address: SocketAddr) -> String {
         let known = self.log.since(0);
         let (balancers, places, change_log) = (site.balancers, site.places, site.change_log);
-        let starts = self.known.borrow().kills.len() as u64;
+        let starts = self.facts.borrow().process_ends.len() as u64;
         Site { balancers, places, change_log, known }.document(controller, address, starts)
     }
 
+    /// Returns a new call id, distinct for each controller.
     fn next_call(&self, controller: usize) -> u64 {
-        self.calls.set(self.calls.get() + 1);
-        (controller as u64 + 1) << 40 | self.calls.get()
+        self.last_call.set(self.last_call.get() + 1);
+        (controller as u64 + 1) << 40 | self.last_call.get()
     }
 }
 
+/// Returns the Unix time in milliseconds.
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-fn span(rng: &mut StdRng, from_s: f64, to_s: f64) -> Duration {
+/// Draws a duration between two bounds in seconds.
+fn random_duration(rng: &mut StdRng, from_s: f64, to_s: f64) -> Duration {
     Duration::from_secs_f64(rng.random_range(from_s..to_s))
 }
 
-/// A new process at the hub's address, told a little later.
-async fn comes_back(run: &Run, hub: &mut Hub, rng: &mut StdRng) -> io::Result<()> {
-    hub.start_again().await?;
+/// Restarts a hub, and publishes the new start with a delay.
+async fn restart_hub(run: &Run, hub: &mut Hub, rng: &mut StdRng) -> io::Result<()> {
+    hub.restart().await?;
     let boot_ms = unix_ms();
-    run.say(format!("{} is back as a new process", hub.uid));
-    sleep(span(rng, 0.3, 2.4)).await;
-    run.tell(hub, "in_service", boot_ms);
+    run.log_action(format!("{} has restarted", hub.uid));
+    sleep(random_duration(rng, 0.3, 2.4)).await;
+    run.publish(hub, "in_service", boot_ms);
     Ok(())
 }
 
-/// One trouble of one hub, from its beginning to its end.
-async fn trouble(run: Run, hub: Rc<RefCell<Option<Hub>>>, mut rng: StdRng) -> io::Result<()> {
+/// Subjects a hub to one randomly drawn fault, from its start to its end.
+async fn inject_hub_faults(run: Run, hub: Rc<RefCell<Option<Hub>>>, mut rng: StdRng) -> io::Result<()> {
     let Some(mut hub) = hub.borrow_mut().take() else { return Ok(()) };
-    sleep_until(run.start + span(&mut rng, FAULTS_FROM_S, FAULTS_TO_S)).await;
+    sleep_until(run.start + random_duration(&mut rng, FAULT_START_MIN_S, FAULT_START_MAX_S)).await;
     let (from, number) = (Instant::now(), hub.place);
     match rng.random_range(0..9) {
         0 | 7 | 8 => {
-            // A hub that hung has more connections, and may be lost with all of them open.
+            // A hub that was frozen before has more connections, and may be lost while all of them are open.
             if rng.random_bool(0.6) {
-                run.say(format!("{} hangs", hub.uid));
-                hub.hang();
-                sleep(span(&mut rng, 2.6, 4.0)).await;
+                run.log_action(format!("{} freezes", hub.uid));
+                hub.freeze();
+                sleep(random_duration(&mut rng, 2.6, 4.0)).await;
                 hub.resume()?;
-                run.say(format!("{} goes on", hub.uid));
-                sleep(span(&mut rng, 0.3, 3.0)).await;
+                run.log_action(format!("{} resumes", hub.uid));
+                sleep(random_duration(&mut rng, 0.3, 3.0)).await;
             }
-            run.say(format!("{} vanishes", hub.uid));
-            hub.calls_die();
+            run.log_action(format!("{} fails without closing connections", hub.uid));
+            hub.end_all_calls();
             hub.cut_off(rng.random_range(0..3)).await;
             if rng.random_bool(0.7) {
-                sleep(span(&mut rng, 8.9, 11.0)).await;
-                run.tell(&hub, "terminated", 0);
-                sleep(span(&mut rng, 0.5, 2.0)).await;
+                sleep(random_duration(&mut rng, 8.9, 11.0)).await;
+                run.publish(&hub, "terminated", 0);
+                sleep(random_duration(&mut rng, 0.5, 2.0)).await;
             } else {
-                sleep(span(&mut rng, 2.0, 6.0)).await;
+                sleep(random_duration(&mut rng, 2.0, 6.0)).await;
             }
-            comes_back(&run, &mut hub, &mut rng).await?;
+            restart_hub(&run, &mut hub, &mut rng).await?;
         }
         1 => {
-            run.say(format!("{} hangs, and is killed later", hub.uid));
-            hub.hang();
-            sleep(span(&mut rng, 1.0, 7.0)).await;
+            run.log_action(format!("{} freezes, to be killed later", hub.uid));
+            hub.freeze();
+            sleep(random_duration(&mut rng, 1.0, 7.0)).await;
             hub.kill().await;
-            run.say(format!("{} is killed", hub.uid));
-            sleep(span(&mut rng, 0.9, 3.2)).await;
-            run.tell(&hub, "terminated", 0);
-            sleep(span(&mut rng, 0.5, 2.0)).await;
-            comes_back(&run, &mut hub, &mut rng).await?;
+            run.log_action(format!("{} is killed", hub.uid));
+            sleep(random_duration(&mut rng, 0.9, 3.2)).await;
+            run.publish(&hub, "terminated", 0);
+            sleep(random_duration(&mut rng, 0.5, 2.0)).await;
+            restart_hub(&run, &mut hub, &mut rng).await?;
         }
         2 => {
-            run.say(format!("{} hangs", hub.uid));
-            hub.hang();
-            sleep(span(&mut rng, 1.0, 6.0)).await;
+            run.log_action(format!("{} freezes", hub.uid));
+            hub.freeze();
+            sleep(random_duration(&mut rng, 1.0, 6.0)).await;
             hub.resume()?;
-            run.say(format!("{} goes on", hub.uid));
+            run.log_action(format!("{} resumes", hub.uid));
         }
         3 => {
-            run.say(format!("{} is cut off", hub.uid));
+            run.log_action(format!("{} is cut off", hub.uid));
             hub.cut_off(rng.random_range(0..3)).await;
-            sleep(span(&mut rng, 1.0, 6.0)).await;
+            sleep(random_duration(&mut rng, 1.0, 6.0)).await;
             hub.resume()?;
-            run.say(format!("{} is reached again", hub.uid));
+            run.log_action(format!("{} is reachable again", hub.uid));
         }
         4 => {
-            run.say(format!("{} is killed", hub.uid));
+            run.log_action(format!("{} is killed", hub.uid));
             hub.kill().await;
-            sleep(span(&mut rng, 0.9, 3.2)).await;
-            run.tell(&hub, "terminated", 0);
-            sleep(span(&mut rng, 0.5, 2.0)).await;
-            comes_back(&run, &mut hub, &mut rng).await?;
+            sleep(random_duration(&mut rng, 0.9, 3.2)).await;
+            run.publish(&hub, "terminated", 0);
+            sleep(random_duration(&mut rng, 0.5, 2.0)).await;
+            restart_hub(&run, &mut hub, &mut rng).await?;
         }
         5 => {
             for _ in 0..rng.random_range(2..6) {
-                run.say(format!("{} resets its connections", hub.uid));
-                hub.end_connections();
-                sleep(span(&mut rng, 0.2, 1.5)).await;
+                run.log_action(format!("{} resets its connections", hub.uid));
+                hub.close_connections();
+                sleep(random_duration(&mut rng, 0.2, 1.5)).await;
             }
         }
         _ => {
-            run.tell(&hub, "terminating", 0);
-            let told = Instant::now();
-            sleep(span(&mut rng, 3.0, 6.0)).await;
-            run.known.borrow_mut().drains.push(Span { whose: number, from: told, to: Instant::now() });
+            run.publish(&hub, "terminating", 0);
+            let drained_at = Instant::now();
+            sleep(random_duration(&mut rng, 3.0, 6.0)).await;
+            run.facts.borrow_mut().hub_drains.push(Period {
+                index: number,
+                from: drained_at,
+                to: Instant::now(),
+            });
             hub.kill().await;
-            run.say(format!("{} ends", hub.uid));
-            comes_back(&run, &mut hub, &mut rng).await?;
+            run.log_action(format!("{} exits after its drain", hub.uid));
+            restart_hub(&run, &mut hub, &mut rng).await?;
         }
     }
-    run.fault(number, from);
-    // Kept to the end of the run.
+    run.add_fault(number, from);
+    // Keeps the hub alive until the end of the run.
     std::future::pending().await
 }
 
-/// A series of signals to one controller.
-async fn signals(
+/// Sends a series of signals to a controller, and restarts it if they end its process.
+async fn send_signals(
     run: Run,
     number: usize,
     mut controller: Controller,
     site: Rc<Site>,
     mut rng: StdRng,
 ) -> io::Result<()> {
-    let shift = number as f64 * 1.5;
-    sleep_until(run.start + span(&mut rng, FAULTS_FROM_S + shift, FAULTS_TO_S + shift)).await;
+    let offset_s = number as f64 * 1.5;
+    sleep_until(
+        run.start + random_duration(&mut rng, FAULT_START_MIN_S + offset_s, FAULT_START_MAX_S + offset_s),
+    )
+    .await;
     for _ in 0..rng.random_range(0..4) {
-        run.say(format!("HUP to n{number}"));
+        run.log_action(format!("HUP to n{number}"));
         controller.signal("-HUP");
-        sleep(span(&mut rng, 0.1, 0.6)).await;
+        sleep(random_duration(&mut rng, 0.1, 0.6)).await;
     }
     match rng.random_range(0..4) {
         0 => {
-            run.say(format!("STOP and CONT to n{number}"));
+            run.log_action(format!("STOP and CONT to n{number}"));
             controller.signal("-STOP");
-            sleep(span(&mut rng, 0.1, 0.35)).await;
+            sleep(random_duration(&mut rng, 0.1, 0.35)).await;
             controller.signal("-CONT");
         }
         1 => {
-            run.say(format!("KILL to n{number}"));
+            run.log_action(format!("KILL to n{number}"));
             controller.kill();
-            run.known.borrow_mut().kills.push((number, Instant::now()));
+            run.facts.borrow_mut().process_ends.push((number, Instant::now()));
             controller.start(&run.document(&site, number, controller.address)).await?;
         }
-        2 | 3 => planned_end(&run, number, &mut controller, &site).await?,
+        2 | 3 => shut_down_and_restart(&run, number, &mut controller, &site).await?,
         _ => {}
     }
     loop {
         sleep(Duration::from_millis(200)).await;
-        if controller.has_ended().is_some() {
-            run.known.borrow_mut().kills.push((number, Instant::now()));
-            run.say(format!("n{number} has ended by itself"));
-            return Err(io::Error::other(format!("n{number} has ended by itself")));
+        if controller.poll_exit().is_some() {
+            run.facts.borrow_mut().process_ends.push((number, Instant::now()));
+            run.log_action(format!("n{number} has exited by itself"));
+            return Err(io::Error::other(format!("n{number} has exited by itself")));
         }
     }
 }
 
-/// SIGTERM, and SIGKILL at the earliest moment, while callers go on.
-async fn planned_end(run: &Run, number: usize, controller: &mut Controller, site: &Site) -> io::Result<()> {
-    run.say(format!("TERM to n{number}"));
+/// Sends SIGTERM, and SIGKILL after the shortest delay allowed, while calls continue; then restarts the controller.
+async fn shut_down_and_restart(
+    run: &Run,
+    number: usize,
+    controller: &mut Controller,
+    site: &Site,
+) -> io::Result<()> {
+    run.log_action(format!("TERM to n{number}"));
     let from = Instant::now();
     controller.signal("-TERM");
-    let own = |connections: &[Rc<Connection>], away: bool| {
-        connections.iter().filter(|c| c.controller() == number).for_each(|c| c.set_away(away));
+    let pause_reconnects = |connections: &[Rc<Connection>], paused: bool| {
+        connections.iter().filter(|c| c.controller() == number).for_each(|c| c.pause_reconnects(paused));
     };
-    sleep(CONNECTIONS_AFTER_TERM).await;
-    own(&run.connections.borrow(), true);
+    sleep(RECONNECT_TIME_AFTER_SIGTERM).await;
+    pause_reconnects(&run.connections.borrow(), true);
     let mut ended = None;
-    while Instant::now() < from + KILL_AFTER && ended.is_none() {
+    while Instant::now() < from + SIGKILL_DELAY && ended.is_none() {
         sleep(Duration::from_millis(1)).await;
-        ended = controller.has_ended();
+        ended = controller.poll_exit();
     }
     let to = Instant::now();
     controller.kill();
-    run.say(format!("n{number} {}", if ended.is_some() { "has ended" } else { "is killed" }));
-    run.known.borrow_mut().kills.push((number, to));
-    run.known.borrow_mut().planned.push(Span { whose: number, from, to });
+    run.log_action(format!("n{number} {}", if ended.is_some() { "has exited" } else { "is killed" }));
+    run.facts.borrow_mut().process_ends.push((number, to));
+    run.facts.borrow_mut().planned_shutdowns.push(Period { index: number, from, to });
     controller.start(&run.document(site, number, controller.address)).await?;
-    own(&run.connections.borrow(), false);
+    pause_reconnects(&run.connections.borrow(), false);
     Ok(())
 }
 
-/// Open-loop callers of one controller.
-async fn calls(run: Run, controller: usize, length_s: f64, mut rng: StdRng) {
+/// Places calls to a controller at random times, regardless of how it responds (open loop).
+async fn place_calls(run: Run, controller: usize, length_s: f64, mut rng: StdRng) {
     let mut at = run.start;
     loop {
-        let gap = Exp::new(RATE).map_or(1.0 / RATE, |e| e.sample(&mut rng));
-        at += Duration::from_secs_f64(gap);
-        if at > run.start + Duration::from_secs_f64(length_s - QUIET_END_S) {
+        let interval_s = Exp::new(CALLS_PER_SECOND).map_or(1.0 / CALLS_PER_SECOND, |e| e.sample(&mut rng));
+        at += Duration::from_secs_f64(interval_s);
+        if at > run.start + Duration::from_secs_f64(length_s - QUIET_TIME_S) {
             return;
         }
         sleep_until(at).await;
@@ -297,33 +323,34 @@
             let all = run.connections.borrow();
             all.iter().filter(|c| c.controller() == controller && c.is_open()).cloned().collect()
         };
-        let (nth, within) = (rng.random_range(0..CONNECTIONS * 2), span(&mut rng, 0.8, 3.0));
-        let (place, leaves) = (rng.random_range(0..HUBS), rng.random_bool(0.02));
+        let (nth, answer_timeout) =
+            (rng.random_range(0..CONNECTIONS_PER_CONTROLLER * 2), random_duration(&mut rng, 0.8, 3.0));
+        let (place, cancels) = (rng.random_range(0..HUBS), rng.random_bool(0.02));
         let Some(connection) = connections.get(nth % connections.len().max(1)).cloned() else { continue };
         let call = run.next_call(controller);
-        connection.invite(call, CLASS, place, within);
-        if leaves {
-            let patience = span(&mut rng, 0.0, 0.1);
+        connection.invite(call, CLASS, place, answer_timeout);
+        if cancels {
+            let delay = random_duration(&mut rng, 0.0, 0.1);
             spawn_local(async move {
-                sleep(patience).await;
+                sleep(delay).await;
                 connection.cancel(call);
             });
         }
     }
 }
 
-/// A crowd on connections of its own, all at once.
-async fn crowd(run: Run, controller: usize, address: SocketAddr, mut rng: StdRng) {
-    sleep_until(run.start + span(&mut rng, FAULTS_FROM_S, FAULTS_TO_S + 2.0)).await;
-    run.say(format!("a crowd comes to n{controller}"));
-    for number in 0..CROWD {
-        let id = CONNECTIONS + number;
-        let connection = Connection::start(controller, id, address, &run.requests, &run.ended);
-        connection.leave_for_good();
+/// Places a burst of calls to a controller, each on a connection of its own.
+async fn place_burst(run: Run, controller: usize, address: SocketAddr, mut rng: StdRng) {
+    sleep_until(run.start + random_duration(&mut rng, FAULT_START_MIN_S, FAULT_START_MAX_S + 2.0)).await;
+    run.log_action(format!("burst of calls to n{controller}"));
+    for number in 0..BURST_SIZE {
+        let id = CONNECTIONS_PER_CONTROLLER + number;
+        let connection = Connection::start(controller, id, address, &run.requests, &run.connection_ends);
+        connection.disable_reconnects();
         let (run, place) = (run.clone(), rng.random_range(0..HUBS));
         spawn_local(async move {
-            let by = Instant::now() + Duration::from_secs(1);
-            while !connection.is_open() && Instant::now() < by {
+            let deadline = Instant::now() + Duration::from_secs(1);
+            while !connection.is_open() && Instant::now() < deadline {
                 sleep(Duration::from_millis(2)).await;
             }
             let call = run.next_call(controller);
@@ -333,43 +360,47 @@
     }
 }
 
-/// Leaves polls of the change log without an answer for a while.
-async fn silence_of_the_log(run: Run, mut rng: StdRng) {
-    sleep_until(run.start + span(&mut rng, FAULTS_FROM_S, FAULTS_TO_S)).await;
-    run.say("the change log falls silent".into());
+/// Makes the change log unresponsive for a while.
+async fn suspend_change_log(run: Run, mut rng: StdRng) {
+    sleep_until(run.start + random_duration(&mut rng, FAULT_START_MIN_S, FAULT_START_MAX_S)).await;
+    run.log_action("the change log stops responding".into());
     run.log.set_silent(true);
     let from = Instant::now();
-    sleep(span(&mut rng, 1.0, 4.0)).await;
+    sleep(random_duration(&mut rng, 1.0, 4.0)).await;
     run.log.set_silent(false);
-    run.known.borrow_mut().silences.push((from, Instant::now()));
-    run.say("the change log answers again".into());
+    run.facts.borrow_mut().change_log_outages.push((from, Instant::now()));
+    run.log_action("the change log responds again".into());
 }
 
-/// Watches by how much the run itself is held up.
-fn watch(held_up: &Rc<Cell<Duration>>) -> JoinHandle<()> {
-    let held_up = held_up.clone();
+/// Starts a task that measures the longest stall of the run itself.
+fn watch_for_stalls(max_stall: &Rc<Cell<Duration>>) -> JoinHandle<()> {
+    let max_stall = max_stall.clone();
     spawn_local(async move {
         loop {
-            let due = Instant::now() + WATCH_INTERVAL;
+            let due = Instant::now() + STALL_CHECK_INTERVAL;
             sleep_until(due).await;
-            held_up.set(held_up.get().max(Instant::now() - due));
+            max_stall.set(max_stall.get().max(Instant::now() - due));
         }
     })
 }
 
-/// Plays one seed; to be called on a local set of its own.
-pub async fn play(plan: &Plan, seed: u64, folder: &Path) -> io::Result<Report> {
+/// Runs the soak with one seed. Must be called on a [`tokio::task::LocalSet`] of its own.
+///
+/// # Errors
+/// If a socket, a process or a file of the run cannot be set up.
+pub async fn run(plan: &Plan, seed: u64, folder: &Path) -> io::Result<Report> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut split = || StdRng::seed_from_u64(rng.random());
+    let mut next_rng = || StdRng::seed_from_u64(rng.random());
     let log = ChangeLog::default();
     let change_log = log.start().await?;
-    let record = Record::default();
+    let record = HubRecord::default();
     let mut hubs = Vec::new();
     for number in 0..HUBS {
-        hubs.push(Hub::start(number, &record, split())?);
+        hubs.push(Hub::start(number, &record, next_rng())?);
     }
-    let up: Vec<String> = hubs.iter().map(|h| target(&h.uid, h.address, h.place, "in_service", 0)).collect();
-    log.tell(true, &up);
+    let targets: Vec<String> =
+        hubs.iter().map(|h| target(&h.uid, h.address, h.place, "in_service", 0)).collect();
+    log.tell(true, &targets);
     let site = Site { balancers: CONTROLLERS, places: HUBS, change_log, known: log.since(0) };
     let mut controllers = Vec::new();
     for index in 0..CONTROLLERS {
@@ -381,48 +412,48 @@
     let run = Run {
         start: Instant::now(),
         log,
-        known: Rc::default(),
-        script: Rc::default(),
+        facts: Rc::default(),
+        actions: Rc::default(),
         record,
         requests: Rc::default(),
-        ended: Rc::default(),
+        connection_ends: Rc::default(),
         connections: Rc::default(),
-        calls: Rc::default(),
+        last_call: Rc::default(),
     };
-    let held_up = Rc::new(Cell::new(Duration::ZERO));
-    let mut tasks = vec![watch(&held_up)];
-    let crowded = seed.is_multiple_of(4).then_some(seed as usize / 4 % CONTROLLERS);
-    let mut acting = Vec::new();
+    let max_stall = Rc::new(Cell::new(Duration::ZERO));
+    let mut tasks = vec![watch_for_stalls(&max_stall)];
+    let burst_controller = seed.is_multiple_of(4).then_some(seed as usize / 4 % CONTROLLERS);
+    let mut fault_tasks = Vec::new();
     for (index, controller) in controllers.into_iter().enumerate() {
         let address = controller.address;
-        for number in 0..CONNECTIONS {
-            let connection = Connection::start(index, number, address, &run.requests, &run.ended);
+        for number in 0..CONNECTIONS_PER_CONTROLLER {
+            let connection = Connection::start(index, number, address, &run.requests, &run.connection_ends);
             run.connections.borrow_mut().push(connection);
         }
-        tasks.push(spawn_local(calls(run.clone(), index, plan.length_s, split())));
-        if crowded == Some(index) {
-            tasks.push(spawn_local(crowd(run.clone(), index, address, split())));
+        tasks.push(spawn_local(place_calls(run.clone(), index, plan.length_s, next_rng())));
+        if burst_controller == Some(index) {
+            tasks.push(spawn_local(place_burst(run.clone(), index, address, next_rng())));
         }
-        acting.push(spawn_local(signals(run.clone(), index, controller, site.clone(), split())));
+        fault_tasks.push(spawn_local(send_signals(run.clone(), index, controller, site.clone(), next_rng())));
     }
-    // At least one hub has no trouble.
-    let troubled = 1 + seed as usize % (HUBS - 1);
+    // At least one hub stays without faults.
+    let faulty_count = 1 + seed as usize % (HUBS - 1);
     let hubs: Vec<Rc<RefCell<Option<Hub>>>> =
         hubs.into_iter().map(|h| Rc::new(RefCell::new(Some(h)))).collect();
-    for hub in hubs.iter().take(troubled) {
-        acting.push(spawn_local(trouble(run.clone(), hub.clone(), split())));
+    for hub in hubs.iter().take(faulty_count) {
+        fault_tasks.push(spawn_local(inject_hub_faults(run.clone(), hub.clone(), next_rng())));
     }
     if seed % 5 < 2 {
-        tasks.push(spawn_local(silence_of_the_log(run.clone(), split())));
+        tasks.push(spawn_local(suspend_change_log(run.clone(), next_rng())));
     }
     sleep_until(run.start + Duration::from_secs_f64(plan.length_s)).await;
-    run.known.borrow_mut().end = Some(Instant::now());
-    run.known.borrow_mut().held_up = held_up.get();
-    let mut failed = Vec::new();
-    for task in acting {
+    run.facts.borrow_mut().end = Some(Instant::now());
+    run.facts.borrow_mut().max_stall = max_stall.get();
+    let mut failures = Vec::new();
+    for task in fault_tasks {
         if task.is_finished() {
             if let Ok(Err(error)) = task.await {
-                failed.push(error.to_string());
+                failures.push(error.to_string());
             }
         } else {
             task.abort();
@@ -430,9 +461,13 @@
         }
     }
     tasks.iter().for_each(JoinHandle::abort);
-    let mut findings =
-        audit(&run.requests.borrow(), &run.ended.borrow(), &run.record.borrow(), &run.known.borrow());
-    findings.broken.extend(failed);
-    let script = run.script.borrow().clone();
-    Ok(Report { script, findings, held_up: held_up.get() })
+    let mut findings = audit(
+        &run.requests.borrow(),
+        &run.connection_ends.borrow(),
+        &run.record.borrow(),
+        &run.facts.borrow(),
+    );
+    findings.violations.extend(failures);
+    let actions = run.actions.borrow().clone();
+    Ok(Report { actions, findings, max_stall: max_stall.get() })
 }
