--- a/lab/src/soak/hub.rs
+++ b/lab/src/soak/hub.rs
@@ -403,8 +403,8 @@
         self.frozen.send_replace(true);
     }
 
-    /// Simulates a network failure: the hub neither reads nor sends, and no new connection is established once the accept
-    /// queue, of which `free_queue_slots` slots stay free, is full.
+    /// Simulates a network failure: the hub neither reads nor sends, and no new connection is established once the
+    /// accept queue, of which `free_queue_slots` slots stay free, is full.
     pub async fn cut_off(&mut self, free_queue_slots: usize) {
         self.frozen.send_replace(true);
         self.stop_accepting().await;
--- a/tests/common/peers.rs
+++ b/tests/common/peers.rs
@@ -1,5 +1,5 @@
-//! The program as a process, and its simulated peers: SIP callers, table hubs and the change log. Each peer records what
-//! it receives.
+//! The program as a process, and its simulated peers: SIP callers, table hubs and the change log. Each peer records
+//! what it receives.
 #![allow(dead_code)]
 
 use petreldock::net::binary::{self, code, kind};
@@ -33,8 +33,8 @@
     }
 }
 
-/// Returns a loopback address with port 0, so that the system chooses the port on bind. A free port chosen earlier could
-/// be taken by the time a process binds it.
+/// Returns a loopback address with port 0, so that the system chooses the port on bind. A free port chosen earlier
+/// could be taken by the time a process binds it.
 pub fn ephemeral_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
@@ -97,8 +97,8 @@
         Program::launch(ephemeral_address(), targets, change_log, None, 1024, change)
     }
 
-    /// Starts the program at an address, with a limit of file descriptors and an altered configuration, and waits until it
-    /// answers an OPTIONS with 200.
+    /// Starts the program at an address, with a limit of file descriptors and an altered configuration, and waits until
+    /// it answers an OPTIONS with 200.
     pub fn launch(
         address: SocketAddr,
         targets: &[String],
