--- a/tests/fleet_wire.rs
+++ b/tests/fleet_wire.rs
@@ -1,7 +1,7 @@
 //! Tests of the fleet's datagram format: round trips, and robustness against truncated, corrupt and random input.
 
-#[path = "common/garble.rs"]
-mod garble;
+#[path = "common/parser_fuzz.rs"]
+mod parser_fuzz;
 
 use foca::{Header, Member, Message, State};
 use petreldock::fleet::show;
@@ -55,7 +55,7 @@
         .iter()
         .map(|body| wire::encode_datagram("lab", &identity(1), Kind::Swim, true, body))
         .collect();
-    garble::feed(&encoded, false, |input| match wire::decode_datagram("lab", input) {
+    parser_fuzz::fuzz_parser(&encoded, false, |input| match wire::decode_datagram("lab", input) {
         Ok(envelope) => {
             assert!(envelope.isolated && envelope.sender == identity(1) && envelope.kind == Kind::Swim);
             Ok(Some(input.len()))
@@ -71,7 +71,7 @@
 
 #[test]
 fn truncated_or_corrupt_bodies_behind_a_valid_checksum_do_not_panic() {
-    garble::feed(&swim_bodies(), false, |input| {
+    parser_fuzz::fuzz_parser(&swim_bodies(), false, |input| {
         wire::decode_swim(input).map(|_| Some(input.len())).map_err(|_| ())
     });
     let records: Vec<Record> = (1..4)
@@ -95,7 +95,7 @@
     records.iter().for_each(|r| wire::put_record(&mut body, r));
     assert_eq!(body.len(), records.iter().map(wire::record_len).sum::<usize>());
     assert_eq!(wire::read_records(&body), Ok(records));
-    garble::feed(&[body], false, |input| {
+    parser_fuzz::fuzz_parser(&[body], false, |input| {
         wire::read_records(input).map(|_| Some(input.len())).map_err(|_| ())
     });
 }
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -59,7 +59,7 @@
     assert!(write(&mut reliable, &mut log(), 14) >= 14);
     for cut in 0..reliable.steps {
         for seed in 0..25 {
-            let mut disk = SimDisk::default().cut(cut);
+            let mut disk = SimDisk::default().with_power_loss_at(cut);
             let committed = write(&mut disk, &mut log(), 14);
             let mut recovered = disk.after_power_loss(seed);
             let (mut reopened, sequences, summary) = open(&mut recovered, 0);
@@ -72,7 +72,7 @@
             let lost = summary.issues.iter().any(|issue| matches!(issue, ReplayIssue::Lost { .. }));
             assert!(!lost, "cut at {cut}, seed {seed}: {:?}", summary.issues);
             // The reopened log is written to until the power fails once more.
-            let mut recovered = recovered.cut(seed as usize * 7 % reliable.steps);
+            let mut recovered = recovered.with_power_loss_at(seed as usize * 7 % reliable.steps);
             let committed = write(&mut recovered, &mut reopened, last + 6);
             let (_, sequences, summary) = open(&mut recovered.after_power_loss(seed + 1), 0);
             let last = sequences.len() as u64;
@@ -105,11 +105,11 @@
     let (_, sequences, summary) = open(&mut disk, 0);
     assert_eq!((sequences, summary.issues), ((1..=5).collect(), vec![]));
     // On a full disk the batch is cut short; it is committed to a new segment once there is room.
-    disk.room = Some(80);
+    disk.max_file_bytes = Some(80);
     let batch: Vec<Vec<u8>> = (6..=9).map(payload).collect();
     let batch: Vec<&[u8]> = batch.iter().map(Vec::as_slice).collect();
     assert!(log.commit(&mut disk, &batch).is_err());
-    disk.room = None;
+    disk.max_file_bytes = None;
     assert_eq!(log.commit(&mut disk, &batch).expect("there is room again"), 6);
     assert_eq!(open(&mut disk, 0).1, (1..=9).collect::<Vec<_>>());
 }
@@ -222,7 +222,7 @@
         let mut disk = SimDisk::default();
         log().commit(&mut disk, &[b"x"]).expect("the disk works");
         disk.damage("calls.0000000001", |b| b.splice(48.., garbage.clone()).for_each(drop));
-        disk.lay("calls.0000000002", &garbage);
+        disk.add_synced_file("calls.0000000002", &garbage);
         let opened = log().open(&mut disk, 0, |_, _| {}).expect("the folder can be read");
         assert!(opened.issues.len() <= 3);
     }
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -6,10 +6,10 @@
 mod iax2_peers;
 #[path = "common/peers.rs"]
 mod peers;
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/site_config.rs"]
+mod site_config;
 
-use iax2_peers::{Iax2Hub, Phones};
+use iax2_peers::{DeskEquipment, Iax2Hub};
 use peers::*;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -22,7 +22,7 @@
 
 /// The program with its hubs and its change log.
 struct Site {
-    record: Record,
+    record: HubRecord,
     sip_hub: Hub,
     iax2_hub: Iax2Hub,
     log: ChangeLog,
@@ -31,8 +31,8 @@
 }
 
 /// Starts the program with a table hub at place 0, an IAX2 hub at place 1, and both fronts.
-fn start(sip_manner: Manner, iax2_manner: Manner) -> Site {
-    let record = Record::default();
+fn start(sip_manner: HubBehavior, iax2_manner: HubBehavior) -> Site {
+    let record = HubRecord::default();
     let sip_hub = Hub::start(0, sip_manner, &record);
     let iax2_hub = Iax2Hub::start(1, iax2_manner, &record);
     let log = ChangeLog::start(100);
@@ -42,14 +42,14 @@
             "calls":{{"class":"voice","answerWithinMs":3000,"place":1}}}}}}"#,
         iax2_hub.address
     );
-    let targets = [site::target("s-0", &sip_hub.address.to_string(), 0, "in_service")];
+    let targets = [site_config::target("s-0", &sip_hub.address.to_string(), 0, "in_service")];
     let program = Program::start(&targets, Some(log.address), Some(&operator));
     Site { record, sip_hub, iax2_hub, log, program, iax2 }
 }
 
 /// Checks the attempts of each call over all hubs, identified by the number called. Returns the number of attempts.
-fn check_attempts(record: &Record) -> usize {
-    let mut numbers: BTreeMap<u64, Vec<(Instant, usize, Seen)>> = BTreeMap::new();
+fn check_attempts(record: &HubRecord) -> usize {
+    let mut numbers: BTreeMap<u64, Vec<(Instant, usize, HubEvent)>> = BTreeMap::new();
     for (at, number, hub, seen) in record.lock().expect("lock").iter() {
         numbers.entry(*number).or_default().push((*at, *hub, *seen));
     }
@@ -59,21 +59,21 @@
         let (mut pending_hub, mut not_before) = (None, None);
         for (at, hub, seen) in events {
             match seen {
-                Seen::SetUp => {
+                HubEvent::SetUp => {
                     attempts += 1;
                     assert_eq!(pending_hub, None, "{number:x}: an attempt at {hub} while another is pending");
                     assert!(not_before.is_none_or(|t| at >= t), "{number:x}: an attempt during the pause");
                     pending_hub = Some(hub);
                 }
-                Seen::Refused => pending_hub = None,
-                Seen::Reset => {
+                HubEvent::Refused => pending_hub = None,
+                HubEvent::Reset => {
                     (pending_hub, not_before) = (None, Some(at + MIN_RETRY_PAUSE));
                 }
                 // A give-up, or the release of an established call, which is not set up again.
-                Seen::Release(_) if pending_hub == Some(hub) => {
+                HubEvent::Release(_) if pending_hub == Some(hub) => {
                     (pending_hub, not_before) = (None, Some(at + MIN_RETRY_PAUSE - RECORD_TOLERANCE));
                 }
-                Seen::Release(_) | Seen::Answered => {}
+                HubEvent::Release(_) | HubEvent::Answered => {}
             }
         }
     }
@@ -82,16 +82,16 @@
 
 #[test]
 fn calls_connect_across_protocols_and_iax2_legs_exchange_media() {
-    let site = start(Manner::Answer, Manner::Answer);
-    let mut phones = Phones::connect(site.iax2);
+    let site = start(HubBehavior::Answer, HubBehavior::Answer);
+    let mut phones = DeskEquipment::connect(site.iax2);
     phones.dial(10, 0x510);
-    until("the desk call is established", || {
-        phones.drive(Duration::from_millis(20));
+    wait_until("the desk call is established", || {
+        phones.run_for(Duration::from_millis(20));
         (phones.line(10).answers == [None]).then_some(())
     });
-    phones.speak(10, b"hello");
-    until("the voice is echoed", || {
-        phones.drive(Duration::from_millis(20));
+    phones.send_voice(10, b"hello");
+    wait_until("the voice is echoed", || {
+        phones.run_for(Duration::from_millis(20));
         phones.line(10).voice.contains(&b"hello".to_vec()).then_some(())
     });
     // A SIP caller reaches the IAX2 hub; later, desk equipment reaches the table hub.
@@ -100,36 +100,36 @@
     let (code, _, body) = caller.answer(0x511).expect("an answer");
     assert_eq!((code, body.len()), (200, 0), "the call is signalled without a media description");
     caller.send("BYE", 0x511, "", b"");
-    until("the IAX2 hub receives the release", || {
+    wait_until("the IAX2 hub receives the release", || {
         let record = site.record.lock().expect("lock");
-        record.iter().any(|e| (e.1, e.2, e.3) == (0x511, 1, Seen::Release(16))).then_some(())
+        record.iter().any(|e| (e.1, e.2, e.3) == (0x511, 1, HubEvent::Release(16))).then_some(())
     });
-    site.iax2_hub.set(Manner::Full);
+    site.iax2_hub.set_behavior(HubBehavior::Full);
     phones.dial(11, 0x512);
-    until("the table hub accepts the call that the IAX2 hub refused", || {
-        phones.drive(Duration::from_millis(20));
+    wait_until("the table hub accepts the call that the IAX2 hub refused", || {
+        phones.run_for(Duration::from_millis(20));
         (phones.line(11).answers == [None]).then_some(())
     });
-    assert_eq!(site.sip_hub.seen(0x512), [Seen::SetUp, Seen::Answered]);
+    assert_eq!(site.sip_hub.events_of(0x512), [HubEvent::SetUp, HubEvent::Answered]);
     phones.hang_up(11);
-    phones.drive(Duration::from_millis(50));
-    site.sip_hub.wait_for(0x512, Seen::Release(16));
+    phones.run_for(Duration::from_millis(50));
+    site.sip_hub.wait_for(0x512, HubEvent::Release(16));
 }
 
 #[test]
 fn a_desk_call_cancelled_before_a_slow_hub_answers_is_given_up_there() {
-    let site = start(Manner::Silent, Manner::AnswerAfter(Duration::from_millis(900)));
-    let mut phones = Phones::connect(site.iax2);
+    let site = start(HubBehavior::Silent, HubBehavior::AnswerAfter(Duration::from_millis(900)));
+    let mut phones = DeskEquipment::connect(site.iax2);
     phones.dial(10, 0x520);
-    until("the set-up reaches the hub", || {
-        phones.drive(Duration::from_millis(10));
+    wait_until("the set-up reaches the hub", || {
+        phones.run_for(Duration::from_millis(10));
         (!site.record.lock().expect("lock").is_empty()).then_some(())
     });
     phones.hang_up(10);
-    phones.drive(Duration::from_millis(1200));
+    phones.run_for(Duration::from_millis(1200));
     assert!(phones.line(10).answers.is_empty(), "a cancelled call must not be answered");
     let seen: Vec<_> = site.record.lock().expect("lock").iter().map(|e| e.3).collect();
-    assert_eq!(seen, [Seen::SetUp, Seen::Release(16)], "the hub is released and does not answer");
+    assert_eq!(seen, [HubEvent::SetUp, HubEvent::Release(16)], "the hub is released and does not answer");
 }
 
 /// Returns the connection on which a call is placed. Every connection is used, because one that sends nothing after it
@@ -140,21 +140,26 @@
 
 #[test]
 fn mixed_load_gets_one_answer_per_call_and_no_overlapping_early_or_late_attempts() {
-    let site = start(Manner::AnswerAfter(Duration::from_millis(30)), Manner::Answer);
+    let site = start(HubBehavior::AnswerAfter(Duration::from_millis(30)), HubBehavior::Answer);
     let mut callers: Vec<Caller> = (0..4).map(|_| Caller::connect(site.program.address)).collect();
-    let mut phones = Phones::connect(site.iax2);
+    let mut phones = DeskEquipment::connect(site.iax2);
     let (mut drain_polled_at, mut cancelled) = (None, Vec::new());
     let rounds = 150_u64;
     for round in 0..rounds {
         match round {
-            20 => site.sip_hub.set(Manner::Reset),
-            40 => site.iax2_hub.set(Manner::Full),
-            50 => site.sip_hub.set(Manner::Silent),
-            70 => site.iax2_hub.set(Manner::Reset),
-            80 => site.sip_hub.set(Manner::Answer),
+            20 => site.sip_hub.set_behavior(HubBehavior::Reset),
+            40 => site.iax2_hub.set_behavior(HubBehavior::Full),
+            50 => site.sip_hub.set_behavior(HubBehavior::Silent),
+            70 => site.iax2_hub.set_behavior(HubBehavior::Reset),
+            80 => site.sip_hub.set_behavior(HubBehavior::Answer),
             90 => {
-                site.log.tell(&[site::target("s-0", &site.sip_hub.address.to_string(), 0, "terminating")]);
-                site.iax2_hub.set(Manner::Answer);
+                site.log.append_event(&[site_config::target(
+                    "s-0",
+                    &site.sip_hub.address.to_string(),
+                    0,
+                    "terminating",
+                )]);
+                site.iax2_hub.set_behavior(HubBehavior::Answer);
             }
             _ => {}
         }
@@ -169,16 +174,16 @@
             }
         }
         phones.dial(100 + round as u16, 0x9000 + round);
-        phones.drive(Duration::from_millis(25));
+        phones.run_for(Duration::from_millis(25));
         if let Some(call) = cancelled.last().filter(|c| (**c - 0x1000) / 16 == round) {
             callers[connection_of(*call)].send("CANCEL", *call, "", b"");
         }
         if drain_polled_at.is_none() && site.log.polls.lock().expect("lock").contains(&2) {
             drain_polled_at = Some(Instant::now());
         }
-        callers[(round % 4) as usize].take_in();
+        callers[(round % 4) as usize].receive();
     }
-    phones.drive(Duration::from_millis(3500));
+    phones.run_for(Duration::from_millis(3500));
     let mut by_status: BTreeMap<u16, usize> = BTreeMap::new();
     for round in 0..rounds {
         let burst = if (60..63).contains(&round) { 8 } else { 1 };
@@ -186,8 +191,9 @@
             let call = 0x1000 + round * 16 + extra;
             let caller = &mut callers[connection_of(call)];
             let (status, ..) = caller.answer(call).expect("every call is answered");
-            caller.take_in();
-            let finals = caller.said.iter().filter(|s| matches!(s, Said::Answer(c, ..) if *c == call));
+            caller.receive();
+            let finals =
+                caller.received.iter().filter(|s| matches!(s, Received::Answer(c, ..) if *c == call));
             assert_eq!(finals.count(), 1, "{call:x}: exactly one final answer");
             *by_status.entry(status).or_default() += 1;
         }
@@ -206,7 +212,7 @@
     assert!(attempts > 100, "{attempts} attempts");
     let drain_polled_at = drain_polled_at.expect("the program polled past the drain event");
     let has_late_set_up = site.record.lock().expect("lock").iter().any(|(at, _, hub, seen)| {
-        *hub == 0 && *seen == Seen::SetUp && *at > drain_polled_at + Duration::from_millis(2050)
+        *hub == 0 && *seen == HubEvent::SetUp && *at > drain_polled_at + Duration::from_millis(2050)
     });
     assert!(!has_late_set_up, "no set-up may reach a draining hub after its grace period");
 }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -2,8 +2,8 @@
 
 #[path = "common/peers.rs"]
 mod peers;
-#[path = "common/site.rs"]
-mod site;
+#[path = "common/site_config.rs"]
+mod site_config;
 
 use peers::*;
 use petreldock::config::{self, Config, JsonNode, OperatorConfig};
@@ -15,7 +15,7 @@
 
 fn targets(hubs: &[&Hub]) -> Vec<String> {
     let target = |h: &&Hub| {
-        site::target(&format!("s-{}", h.number), &h.address.to_string(), h.number as i64, "in_service")
+        site_config::target(&format!("s-{}", h.number), &h.address.to_string(), h.number as i64, "in_service")
     };
     hubs.iter().map(target).collect()
 }
@@ -26,8 +26,8 @@
 
 #[test]
 fn calls_are_answered_and_released_on_any_connection() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Answer, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Answer, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
     let mut first = Caller::connect(program.address);
     first.invite(0xa1, 3000, 0);
@@ -36,119 +36,122 @@
     // A BYE may come on another connection than its INVITE.
     let mut second = Caller::connect(program.address);
     second.send("BYE", 0xa1, "Reason: Q.850;cause=31\r\n", b"");
-    hub.wait_for(0xa1, Seen::Release(31));
-    second.wait_for("the BYE is answered", |s| matches!(s, Said::Other(0xa1, m, 200) if m == "BYE"));
+    hub.wait_for(0xa1, HubEvent::Release(31));
+    second.wait_for("the BYE is answered", |s| matches!(s, Received::Other(0xa1, m, 200) if m == "BYE"));
     // The hub ends a call whose connection was closed: the release is sent on another connection.
     first.invite(0xa2, 3000, 0);
     assert_eq!(status(&mut first, 0xa2), 200);
     drop(first);
     hub.send(kind::RELEASE, 0xa2, &[(code::CAUSE, &[16])]);
-    second.wait_for("the release", |s| *s == Said::Bye(0xa2, 16));
+    second.wait_for("the release", |s| *s == Received::Bye(0xa2, 16));
     // While no connection is open, a release waits for the next one.
     second.invite(0xa3, 3000, 0);
     assert_eq!(status(&mut second, 0xa3), 200);
     drop(second);
     hub.send(kind::RELEASE, 0xa3, &[(code::CAUSE, &[41])]);
     let mut third = Caller::connect(program.address);
-    third.wait_for("the waiting release", |s| *s == Said::Bye(0xa3, 41));
+    third.wait_for("the waiting release", |s| *s == Received::Bye(0xa3, 41));
     // A release of a call from before the start is passed on too.
     hub.send(kind::RELEASE, 0xbeef, &[(code::CAUSE, &[16])]);
-    third.wait_for("the release of an unknown call", |s| *s == Said::Bye(0xbeef, 16));
+    third.wait_for("the release of an unknown call", |s| *s == Received::Bye(0xbeef, 16));
 }
 
 #[test]
 fn full_hubs_give_503_with_a_retry_time() {
-    let record = Record::default();
-    let hubs = [Hub::start(0, Manner::Full, &record), Hub::start(1, Manner::Full, &record)];
+    let record = HubRecord::default();
+    let hubs = [Hub::start(0, HubBehavior::Full, &record), Hub::start(1, HubBehavior::Full, &record)];
     let program = Program::start(&targets(&[&hubs[0], &hubs[1]]), None, None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0xb1, 3000, 0);
     let (code, retry_after_ms, _) = caller.answer(0xb1).expect("an answer");
     assert_eq!(code, 503);
     assert!(retry_after_ms.is_some_and(|ms| ms > 0 && ms <= 2000), "{retry_after_ms:?}");
-    assert!(hubs.iter().all(|h| h.seen(0xb1) == [Seen::SetUp, Seen::Refused]), "each hub gets one set-up");
+    assert!(
+        hubs.iter().all(|h| h.events_of(0xb1) == [HubEvent::SetUp, HubEvent::Refused]),
+        "each hub gets one set-up"
+    );
     caller.invite(0xb2, 3000, 0);
-    hubs[1].set(Manner::Answer);
+    hubs[1].set_behavior(HubBehavior::Answer);
     status(&mut caller, 0xb2);
 }
 
 #[test]
 fn cancel_bye_and_lost_connection_withdraw_a_set_up() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Silent, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Silent, &record);
     // A silent hub soon gets few calls, so that later calls name another hub's place.
-    let other = Hub::start(1, Manner::Silent, &record);
+    let other = Hub::start(1, HubBehavior::Silent, &record);
     let program = Program::start(&targets(&[&hub, &other]), None, None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0xc1, 3000, 0);
-    hub.wait_for(0xc1, Seen::SetUp);
+    hub.wait_for(0xc1, HubEvent::SetUp);
     caller.send("CANCEL", 0xc1, "", b"");
     assert_eq!(status(&mut caller, 0xc1), 487);
-    hub.wait_for(0xc1, Seen::Release(16));
+    hub.wait_for(0xc1, HubEvent::Release(16));
     // An answer of the hub that crosses the CANCEL is released, and the caller gets no second final response.
     hub.send(kind::ANSWER, 0xc1, &[(code::DESCRIPTION, b"late")]);
-    until("the late answer is released", || {
-        (hub.seen(0xc1).iter().filter(|s| **s == Seen::Release(16)).count() == 2).then_some(())
+    wait_until("the late answer is released", || {
+        (hub.events_of(0xc1).iter().filter(|s| **s == HubEvent::Release(16)).count() == 2).then_some(())
     });
     caller.send("CANCEL", 0xc1, "", b"");
-    caller.wait_for("481 for a set-up that has ended", |s| matches!(s, Said::Other(0xc1, _, 481)));
-    let finals = caller.said.iter().filter(|s| matches!(s, Said::Answer(0xc1, ..))).count();
+    caller.wait_for("481 for a set-up that has ended", |s| matches!(s, Received::Other(0xc1, _, 481)));
+    let finals = caller.received.iter().filter(|s| matches!(s, Received::Answer(0xc1, ..))).count();
     assert_eq!(finals, 1);
     // A BYE before the answer withdraws the set-up too.
     caller.invite(0xc3, 3000, 1);
-    other.wait_for(0xc3, Seen::SetUp);
+    other.wait_for(0xc3, HubEvent::SetUp);
     caller.send("BYE", 0xc3, "", b"");
     assert_eq!(status(&mut caller, 0xc3), 487);
-    other.wait_for(0xc3, Seen::Release(16));
+    other.wait_for(0xc3, HubEvent::Release(16));
     // A lost connection withdraws its set-ups.
     caller.invite(0xc2, 3000, 1);
-    other.wait_for(0xc2, Seen::SetUp);
+    other.wait_for(0xc2, HubEvent::SetUp);
     drop(caller);
-    other.wait_for(0xc2, Seen::Release(16));
+    other.wait_for(0xc2, HubEvent::Release(16));
 }
 
 #[test]
 fn retry_after_a_reset_is_delayed_and_a_dead_hub_releases_its_calls() {
-    let record = Record::default();
-    let other = Hub::start(0, Manner::Reset, &record);
-    let hub = Hub::start(1, Manner::Answer, &record);
+    let record = HubRecord::default();
+    let other = Hub::start(0, HubBehavior::Reset, &record);
+    let hub = Hub::start(1, HubBehavior::Answer, &record);
     let program = Program::start(&targets(&[&other, &hub]), None, None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0xd1, 3000, 0);
     assert_eq!(status(&mut caller, 0xd1), 200);
     let record = record.lock().expect("lock").clone();
     let at = |seen| record.iter().filter(|e| e.3 == seen).map(|e| e.0).max().expect("seen");
-    assert_eq!(hub.seen(0xd1), [Seen::SetUp, Seen::Answered]);
-    assert!(at(Seen::SetUp) - at(Seen::Reset) >= Duration::from_millis(200), "{record:?}");
+    assert_eq!(hub.events_of(0xd1), [HubEvent::SetUp, HubEvent::Answered]);
+    assert!(at(HubEvent::SetUp) - at(HubEvent::Reset) >= Duration::from_millis(200), "{record:?}");
     // A lost connection alone ends no established call.
     hub.close_connections();
-    until("the link is up again", || (!hub.connections.lock().expect("lock").is_empty()).then_some(()));
+    wait_until("the link is up again", || (!hub.connections.lock().expect("lock").is_empty()).then_some(()));
     caller.invite(0xd2, 3000, 1);
     assert_eq!(status(&mut caller, 0xd2), 200);
-    assert!(!caller.said.contains(&Said::Bye(0xd1, 41)));
-    hub.die();
+    assert!(!caller.received.contains(&Received::Bye(0xd1, 41)));
+    hub.kill();
     for call in [0xd1, 0xd2] {
-        caller.wait_for("the dead hub's calls are released", |s| *s == Said::Bye(call, 41));
+        caller.wait_for("the dead hub's calls are released", |s| *s == Received::Bye(call, 41));
     }
 }
 
 #[test]
 fn silent_hub_leads_to_a_refusal_and_a_release() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Silent, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Silent, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
     let mut caller = Caller::connect(program.address);
     let sent = Instant::now();
     caller.invite(0xe1, 1500, 0);
     assert!(status(&mut caller, 0xe1) >= 480);
     assert!(sent.elapsed() >= Duration::from_millis(1000), "{:?}", sent.elapsed());
-    hub.wait_for(0xe1, Seen::Release(16));
+    hub.wait_for(0xe1, HubEvent::Release(16));
 }
 
 #[test]
 fn change_log_drain_moves_calls_to_another_hub() {
-    let record = Record::default();
-    let hubs = [Hub::start(0, Manner::Answer, &record), Hub::start(1, Manner::Answer, &record)];
+    let record = HubRecord::default();
+    let hubs = [Hub::start(0, HubBehavior::Answer, &record), Hub::start(1, HubBehavior::Answer, &record)];
     // The change log closes the connection after each answer. The poller must reconnect and continue after the last
     // event.
     let log = ChangeLog::start(1);
@@ -156,9 +159,9 @@
     let mut caller = Caller::connect(program.address);
     caller.invite(0xf0, 3000, 0);
     assert_eq!(status(&mut caller, 0xf0), 200);
-    assert_eq!(hubs[0].seen(0xf0), [Seen::SetUp, Seen::Answered]);
-    log.tell(&[site::target("s-0", &hubs[0].address.to_string(), 0, "terminating")]);
-    until("the poller has the event", || log.polls.lock().expect("lock").contains(&2).then_some(()));
+    assert_eq!(hubs[0].events_of(0xf0), [HubEvent::SetUp, HubEvent::Answered]);
+    log.append_event(&[site_config::target("s-0", &hubs[0].address.to_string(), 0, "terminating")]);
+    wait_until("the poller has the event", || log.polls.lock().expect("lock").contains(&2).then_some(()));
     let before = log.polls.lock().expect("lock").len();
     std::thread::sleep(Duration::from_millis(2100));
     let polls = log.polls.lock().expect("lock").len() - before;
@@ -169,31 +172,31 @@
         status(&mut caller, call);
     }
     let sent_late =
-        record.lock().expect("lock").iter().any(|e| e.0 > drained && e.2 == 0 && e.3 == Seen::SetUp);
+        record.lock().expect("lock").iter().any(|e| e.0 > drained && e.2 == 0 && e.3 == HubEvent::SetUp);
     assert!(!sent_late, "no set-up after the grace period of the drain");
-    assert!((0xf1..0xf9).any(|c| hubs[1].seen(c).contains(&Seen::Answered)));
-    log.tell(&[site::target("s-0", &hubs[0].address.to_string(), 0, "terminated")]);
-    caller.wait_for("the call on the terminated hub is released", |s| *s == Said::Bye(0xf0, 41));
+    assert!((0xf1..0xf9).any(|c| hubs[1].events_of(c).contains(&HubEvent::Answered)));
+    log.append_event(&[site_config::target("s-0", &hubs[0].address.to_string(), 0, "terminated")]);
+    caller.wait_for("the call on the terminated hub is released", |s| *s == Received::Bye(0xf0, 41));
     let polls = log.polls.lock().expect("lock").clone();
     assert!(polls.windows(2).all(|w| w[0] <= w[1]) && polls[0] == 1, "without gaps: {polls:?}");
 }
 
 #[test]
 fn sighup_changes_the_polled_address_and_interrupts_no_call() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::AnswerAfter(Duration::from_millis(300)), &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::AnswerAfter(Duration::from_millis(300)), &record);
     // The first change log sends event 2 and then nothing more, while its connection stays open.
     let (old, new) = (ChangeLog::start(1000), ChangeLog::start(1000));
     let mut program = Program::start(&targets(&[&hub]), Some(old.address), None);
-    let moved = [Hub::start(2, Manner::Answer, &record), Hub::start(1, Manner::Answer, &record)];
+    let moved = [Hub::start(2, HubBehavior::Answer, &record), Hub::start(1, HubBehavior::Answer, &record)];
     let added = |i: usize| [targets(&[&moved[i]]).remove(0)];
     for log in [&old, &new] {
-        log.tell(&added(0));
+        log.append_event(&added(0));
     }
-    until("the poller has event 2", || old.polls.lock().expect("lock").contains(&2).then_some(()));
+    wait_until("the poller has event 2", || old.polls.lock().expect("lock").contains(&2).then_some(()));
     let mut caller = Caller::connect(program.address);
     caller.invite(0x51, 3000, 0);
-    hub.wait_for(0x51, Seen::SetUp);
+    hub.wait_for(0x51, HubEvent::SetUp);
     let address = |log: &ChangeLog| format!("{:?}", log.address.to_string());
     let (old_address, new_address) = (address(&old), address(&new));
     let (valid, invalid) = ("\"balancers\":1", "\"balancers\":0");
@@ -204,40 +207,43 @@
     assert!(new.polls.lock().expect("lock").is_empty(), "an invalid file changes nothing");
     let logged = format!("reloaded: change log now at {}", new.address);
     program.reload(|text| text.replace("\"there\"", &new_address), &logged);
-    new.tell(&added(1));
-    until("the new change log is polled", || new.polls.lock().expect("lock").contains(&3).then_some(()));
+    new.append_event(&added(1));
+    wait_until("the new change log is polled", || new.polls.lock().expect("lock").contains(&3).then_some(()));
     assert_eq!(new.polls.lock().expect("lock")[0], 2, "polling continues after the last event");
     assert_eq!(status(&mut caller, 0x51), 200, "an open call is not interrupted");
     caller.invite(0x52, 3000, 1);
     assert_eq!(status(&mut caller, 0x52), 200);
-    assert!(moved[1].seen(0x52).contains(&Seen::Answered), "events of the new change log take effect");
+    assert!(
+        moved[1].events_of(0x52).contains(&HubEvent::Answered),
+        "events of the new change log take effect"
+    );
     assert!(program.child.try_wait().expect("waited").is_none());
 }
 
 #[test]
 fn sigterm_answers_open_and_new_calls_before_the_end() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::AnswerAfter(Duration::from_millis(900)), &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::AnswerAfter(Duration::from_millis(900)), &record);
     let mut program = Program::start(&targets(&[&hub]), None, None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0x71, 3000, 0);
-    hub.wait_for(0x71, Seen::SetUp);
+    hub.wait_for(0x71, HubEvent::SetUp);
     program.signal("-TERM");
     let end = Instant::now();
-    let mut late = until("still accepting", || Caller::try_connect(program.address));
+    let mut late = wait_until("still accepting", || Caller::try_connect(program.address));
     late.invite(0x72, 3000, 0);
     assert_eq!(status(&mut caller, 0x71), 200);
     late.send("OPTIONS", 0, "", b"");
     assert_eq!(late.answer(0).map(|a| a.0), Some(503), "503 to OPTIONS asks for no more callers");
     assert_eq!(late.answer(0x72).map(|a| a.0), Some(200));
-    let exit = until("the program ends", || program.child.try_wait().expect("waited"));
+    let exit = wait_until("the program ends", || program.child.try_wait().expect("waited"));
     assert!(exit.success() && end.elapsed() >= Duration::from_millis(700));
 }
 
 #[test]
 fn malformed_input_affects_no_other_call() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Answer, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Answer, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
     let mut caller = Caller::connect(program.address);
     caller.send("INVITE", 0x91, "Call-Kind: voice\r\nAnswer-Within: soon\r\n", b"");
@@ -254,33 +260,35 @@
     caller.send("INVITE", 0x9a, &long, b"");
     assert_eq!(status(&mut caller, 0x9a), 513, "headers that a response must repeat are too long");
     caller.send("PUBLISH", 0x94, "", b"");
-    caller.wait_for("405", |s| matches!(s, Said::Other(0x94, _, 405)));
+    caller.wait_for("405", |s| matches!(s, Received::Other(0x94, _, 405)));
     caller.invite(0x95, 3000, 0);
     assert_eq!(status(&mut caller, 0x95), 200, "the connection stays open");
     let mut lost = Caller::connect(program.address);
     lost.stream.write_all(b"\x16\x03\x01 nonsense\r\n\r\n").expect("written");
-    until("the connection with malformed input is closed", || (!lost.take_in()).then_some(()));
+    wait_until("the connection with malformed input is closed", || (!lost.receive()).then_some(()));
     // A malformed binary message only closes its connection. Unknown types and parameters are ignored.
     hub.send(99, 5, &[(250, b"new")]);
     hub.send(kind::RELEASE, 0x95, &[(250, b"new"), (code::CAUSE, &[16])]);
-    caller.wait_for("released", |s| *s == Said::Bye(0x95, 16));
+    caller.wait_for("released", |s| *s == Received::Bye(0x95, 16));
     caller.invite(0x96, 3000, 0);
     assert_eq!(status(&mut caller, 0x96), 200);
     let before = hub.connections.lock().expect("lock").len();
     hub.send_raw(&[0xff; 40]);
-    until("the link is reopened", || (hub.connections.lock().expect("lock").len() > before).then_some(()));
+    wait_until("the link is reopened", || {
+        (hub.connections.lock().expect("lock").len() > before).then_some(())
+    });
     caller.invite(0x97, 3000, 0);
     assert_eq!(status(&mut caller, 0x97), 200);
     assert!(
-        !caller.said.contains(&Said::Bye(0x96, 41)),
+        !caller.received.contains(&Received::Bye(0x96, 41)),
         "an established call does not depend on a connection"
     );
 }
 
 #[test]
 fn idle_and_stalled_connections_are_closed_and_a_duplicate_call_id_is_refused() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Silent, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Silent, &record);
     let program = Program::start(&targets(&[&hub]), None, None);
     let start = Instant::now();
     let mut silent = Caller::connect(program.address);
@@ -293,11 +301,11 @@
     // A connection that waits for an answer stays open.
     let mut waiting = Caller::connect(program.address);
     waiting.invite(0x41, 15_000, 0);
-    hub.wait_for(0x41, Seen::SetUp);
+    hub.wait_for(0x41, HubEvent::SetUp);
     // The Call-ID is in use, whichever connection repeats it.
     waiting.invite(0x41, 15_000, 0);
     assert_eq!(status(&mut waiting, 0x41), 503);
-    waiting.said.clear();
+    waiting.received.clear();
     let mut other = Caller::connect(program.address);
     other.invite(0x41, 15_000, 0);
     assert_eq!(status(&mut other, 0x41), 503);
@@ -308,20 +316,20 @@
     both.stream.write_all(b"OPTIONS sip:").expect("written");
     assert_eq!(status(&mut both, 0x42), 500);
     for (who, caller) in [("silent", &mut silent), ("blank", &mut blank), ("stalled", &mut stalled)] {
-        until(who, || (!caller.take_in()).then_some(()));
+        wait_until(who, || (!caller.receive()).then_some(()));
     }
-    until("short", || (!short.take_in()).then_some(()));
+    wait_until("short", || (!short.receive()).then_some(()));
     assert!(
         start.elapsed() < Duration::from_secs(10),
         "{:?}; closing them after 30 s was too late",
         start.elapsed()
     );
     assert!(
-        waiting.take_in() && waiting.said.is_empty(),
+        waiting.receive() && waiting.received.is_empty(),
         "the open call is not affected: {:?}",
-        waiting.said
+        waiting.received
     );
-    assert_eq!(hub.seen(0x41), [Seen::SetUp]);
+    assert_eq!(hub.events_of(0x41), [HubEvent::SetUp]);
 }
 
 #[test]
@@ -344,7 +352,7 @@
         std::fs::remove_dir_all(&folder).expect("removed");
         text
     };
-    let good = site::document("127.0.0.1:0", None, &[]);
+    let good = site_config::document("127.0.0.1:0", None, &[]);
     assert_eq!(run("{", None), "petreldock: ROUTER_CONFIG: expected a JSON document\n");
     let attempts = good.replace("\"maxAttempts\":6", "\"maxAttempts\":\"x\"");
     assert_eq!(run(&attempts, None), "petreldock: settings.limits.maxAttempts: expected a count\n");
@@ -357,10 +365,10 @@
 
 #[test]
 fn descriptor_exhaustion_closes_idle_connections_only() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::Answer, &record);
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::Answer, &record);
     // The configuration allows 1,024 descriptors, but the process may open only 40, so that `accept` fails.
-    let program = Program::start_with(&targets(&[&hub]), None, None, (40, 1024));
+    let program = Program::start_with_socket_limits(&targets(&[&hub]), None, None, (40, 1024));
     let mut serving = Caller::connect(program.address);
     serving.invite(0x81, 3000, 0);
     assert_eq!(status(&mut serving, 0x81), 200);
@@ -368,15 +376,15 @@
     let mut late = Caller::connect(program.address);
     late.invite(0x82, 15_000, 0);
     assert_eq!(status(&mut late, 0x82), 200, "idle connections are closed for it");
-    assert!(!serving.said.contains(&Said::Bye(0x81, 41)));
+    assert!(!serving.received.contains(&Received::Bye(0x81, 41)));
     let mut any = Caller::connect(program.address);
     hub.send(kind::RELEASE, 0x81, &[(code::CAUSE, &[16])]);
-    until("the release arrives on some connection", || {
+    wait_until("the release arrives on some connection", || {
         [&mut serving, &mut late, &mut any]
             .into_iter()
             .any(|c| {
-                c.take_in();
-                c.said.contains(&Said::Bye(0x81, 16))
+                c.receive();
+                c.received.contains(&Received::Bye(0x81, 16))
             })
             .then_some(())
     });
@@ -384,18 +392,18 @@
 
 #[test]
 fn connection_limit_closes_idle_connections_only() {
-    let record = Record::default();
-    let hub = Hub::start(0, Manner::AnswerAfter(Duration::from_millis(300)), &record);
-    let program = Program::start_with(&targets(&[&hub]), None, None, (1024, 64));
+    let record = HubRecord::default();
+    let hub = Hub::start(0, HubBehavior::AnswerAfter(Duration::from_millis(300)), &record);
+    let program = Program::start_with_socket_limits(&targets(&[&hub]), None, None, (1024, 64));
     let mut busy = Caller::connect(program.address);
     busy.invite(0x61, 10_000, 0);
-    hub.wait_for(0x61, Seen::SetUp);
+    hub.wait_for(0x61, HubEvent::SetUp);
     let mut idle: Vec<Caller> = (0..50).map(|_| Caller::connect(program.address)).collect();
     let mut late = Caller::connect(program.address);
     late.invite(0x62, 10_000, 0);
     assert_eq!(status(&mut late, 0x62), 200);
     assert_eq!(status(&mut busy, 0x61), 200, "a connection with an open set-up stays");
-    let closed = idle.iter_mut().filter_map(|c| (!c.take_in()).then_some(())).count();
+    let closed = idle.iter_mut().filter_map(|c| (!c.receive()).then_some(())).count();
     assert!(closed >= 20, "{closed} of 50 idle connections closed, of which 32 may be open");
 }
 
@@ -415,13 +423,14 @@
 
 #[test]
 fn more_hubs_than_descriptors_still_leave_descriptors_for_callers() {
-    let record = Record::default();
-    let hubs: Vec<Hub> = (0..90).map(|n| Hub::start(n, Manner::Answer, &record)).collect();
+    let record = HubRecord::default();
+    let hubs: Vec<Hub> = (0..90).map(|n| Hub::start(n, HubBehavior::Answer, &record)).collect();
     // The hubs that get calls are listed last, so that connections to the others would be opened first.
-    let target =
-        |n: usize| site::target(&format!("s-{n}"), &hubs[n].address.to_string(), n as i64, "in_service");
+    let target = |n: usize| {
+        site_config::target(&format!("s-{n}"), &hubs[n].address.to_string(), n as i64, "in_service")
+    };
     let targets: Vec<String> = (0..90).rev().map(target).collect();
-    let program = Program::start_with(&targets, None, None, (96, 96));
+    let program = Program::start_with_socket_limits(&targets, None, None, (96, 96));
     let descriptors =
         || std::fs::read_dir(format!("/proc/{}/fd", program.child.id())).map_or(0, |files| files.count());
     let mut callers: Vec<Caller> = Vec::new();
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -54,7 +54,7 @@
     assert_eq!(save(&mut reliable, 4), 4);
     for cut in 0..reliable.steps {
         for seed in 0..60 {
-            let mut disk = SimDisk::default().cut(cut);
+            let mut disk = SimDisk::default().with_power_loss_at(cut);
             let saved = save(&mut disk, 4);
             let mut recovered = disk.after_power_loss(seed);
             let loaded = snapshots().load(&mut recovered, |_, bytes| number(bytes));
@@ -62,7 +62,7 @@
             assert!(got == saved || got == saved + 1, "cut at {cut}, seed {seed}: {got} after {saved}");
             assert!(loaded.set_aside.is_empty(), "the current file and the previous one are never torn");
             // The power fails a second time while the next process writes.
-            let mut second_run = recovered.cut(seed as usize % reliable.steps);
+            let mut second_run = recovered.with_power_loss_at(seed as usize % reliable.steps);
             let saved = save(&mut second_run, got + 2).max(got);
             let got = load(&mut second_run.after_power_loss(seed + 1)).unwrap_or(0);
             assert!(
@@ -77,7 +77,7 @@
 fn a_failing_disk_keeps_the_last_intact_snapshot_and_can_be_used_once_it_works_again() {
     type Fail = fn(&mut SimDisk, bool);
     let fails: [Fail; 3] =
-        [|d, on| d.room = on.then_some(50), |d, on| d.failing_syncs = on, |d, on| d.read_only = on];
+        [|d, on| d.max_file_bytes = on.then_some(50), |d, on| d.failing_syncs = on, |d, on| d.read_only = on];
     for fail in fails {
         let (mut disk, mut snapshots) = (SimDisk::default(), snapshots());
         snapshots.save(&mut disk, 1, &payload(1)).expect("the disk works");
@@ -136,7 +136,7 @@
 fn the_number_of_set_aside_files_is_bounded() {
     let mut disk = SimDisk::default();
     for _ in 0..30 {
-        disk.lay("state", b"nonsense");
+        disk.add_synced_file("state", b"nonsense");
         assert_eq!(load(&mut disk), None);
     }
     assert_eq!(disk.file_names().expect("names").len(), 8);
