--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -187,7 +187,7 @@
         r#"{"iax2":{"hubs":[{"uid":"a","address":"127.0.0.1:1"},{"uid":"a","address":"127.0.0.1:2"}]}}"#;
     assert_eq!(
         operator(duplicate_uid),
-        Err("iax2.hubs[1].uid: expected a name that no other hub has".into())
+        Err("iax2.hubs[1].uid: expected a name unique among the hubs".into())
     );
     assert_eq!(
         operator(r#"{"iax2":{"calls":{"class":"x"}}}"#),
