--- a/lab/src/cost.rs
+++ b/lab/src/cost.rs
@@ -71,7 +71,8 @@
         .collect();
     sleep(Duration::from_secs_f64(LENGTH_S + 1.5)).await;
     let quantiles = |callers: &Callers| {
-        let mut latencies = Histogram::<u64>::new_with_max(10_000_000, 3).expect("three digits");
+        let mut latencies =
+            Histogram::<u64>::new_with_max(10_000_000, 3).expect("three significant digits are allowed");
         for call in callers.calls.borrow().iter() {
             // A call that was not answered counts as the greatest latency of the histogram.
             let latency_us =
--- a/lab/src/hub.rs
+++ b/lab/src/hub.rs
@@ -58,12 +58,17 @@
 
 /// Queued work.
 enum Job {
+    /// A call's set-up and when it arrived.
     SetUp(u64, Instant),
+    /// The answer of a call.
     Answer(u64),
+    /// The release of a call by the hub.
     Release(u64),
+    /// Work after which no message is sent.
     Other,
 }
 
+/// An accepted call and the connection that it was set up on.
 struct Call {
     connection: mpsc::UnboundedSender<Vec<u8>>,
     answered: bool,
@@ -115,6 +120,7 @@
         self.queued_work / self.current_capacity(now)
     }
 
+    /// Queues a job.
     fn push(&mut self, work: f64, job: Job) {
         self.queued_work += work;
         self.queue.push_back((work, job));
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -269,7 +269,7 @@
 
 /// Minimum, mean and maximum of shares from 0 to 1, with a resolution of 1/10000.
 fn min_mean_max(shares: impl Iterator<Item = f64>) -> (f64, f64, f64) {
-    let mut histogram = Histogram::<u64>::new(4).expect("four digits are allowed");
+    let mut histogram = Histogram::<u64>::new(4).expect("four significant digits are allowed");
     for share in shares {
         histogram.saturating_record((share * 10_000.0) as u64);
     }
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -15,6 +15,7 @@
 /// Number of fleets created by this process, to tell their folders and addresses apart.
 static RUN_COUNT: AtomicU16 = AtomicU16::new(0);
 
+/// A member's folder and, while it runs, its process.
 struct Member {
     folder: PathBuf,
     child: Option<Child>,
@@ -111,7 +112,7 @@
             command.env("PETRELDOCK_OPERATOR", operator);
         }
         member.child = Some(command.spawn()?);
-        let end = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
             let text = std::fs::read_to_string(member.folder.join("log"))?;
             let new_log = text.get(old_log_length..).unwrap_or_default();
@@ -124,7 +125,7 @@
                 self.proxy.set_process_address(n, fleet_address);
                 return Ok(());
             }
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return Err(io::Error::other(format!("n{n} did not start in time; its log: {new_log}")));
             }
             std::thread::sleep(Duration::from_millis(2));
--- a/lab/src/proxy.rs
+++ b/lab/src/proxy.rs
@@ -20,6 +20,7 @@
 /// A datagram waiting for delivery: when it is due, its sequence number, the receiving process, and its bytes.
 type InFlightDatagram = std::cmp::Reverse<(Instant, u64, usize, Vec<u8>)>;
 
+/// State shared with the threads.
 #[derive(Default)]
 struct Shared {
     faults: Mutex<NetworkFaults>,
@@ -45,7 +46,7 @@
     /// threads.
     pub fn start(size: usize, subnet: [u8; 3], seed: u64) -> io::Result<Proxy> {
         let shared = Arc::new(Shared::default());
-        shared.process_addresses.lock().expect("no panic elsewhere").resize(size, None);
+        shared.process_addresses.lock().expect("lock is not poisoned").resize(size, None);
         let (mut addresses, mut threads, mut sockets) = (Vec::new(), Vec::new(), Vec::new());
         for n in 0..size {
             let ip = IpAddr::V4(Ipv4Addr::new(subnet[0], subnet[1], subnet[2], 101 + n as u8));
@@ -68,12 +69,12 @@
 
     /// Sets the address at which a process receives datagrams; `None` when it does not run.
     pub fn set_process_address(&self, n: usize, address: Option<SocketAddr>) {
-        self.shared.process_addresses.lock().expect("no panic elsewhere")[n] = address;
+        self.shared.process_addresses.lock().expect("lock is not poisoned")[n] = address;
     }
 
     /// Applies a network action; returns `false` for an action on processes.
     pub fn apply(&self, action: &FaultAction) -> bool {
-        self.shared.faults.lock().expect("no panic elsewhere").apply(action)
+        self.shared.faults.lock().expect("lock is not poisoned").apply(action)
     }
 
     /// Datagrams and bytes that the processes have sent so far.
@@ -83,7 +84,7 @@
 
     /// The first datagrams of the run, each with the index of the receiving process.
     pub fn recorded(&self) -> Vec<(usize, Vec<u8>)> {
-        self.shared.recorded.lock().expect("no panic elsewhere").clone()
+        self.shared.recorded.lock().expect("lock is not poisoned").clone()
     }
 
     /// Delivers bytes to a process as if another process had sent them.
@@ -101,7 +102,7 @@
 
 /// Queues a datagram for delivery, unless the queue is full.
 fn enqueue(shared: &Shared, due: Instant, n: usize, bytes: Vec<u8>) {
-    let mut queue = shared.queue.lock().expect("no panic elsewhere");
+    let mut queue = shared.queue.lock().expect("lock is not poisoned");
     if queue.len() < MAX_IN_FLIGHT_DATAGRAMS {
         let sequence = shared.next_sequence.fetch_add(1, Ordering::Relaxed);
         queue.push(std::cmp::Reverse((due, sequence, n, bytes)));
@@ -115,17 +116,17 @@
     let mut buffer = [0; 2048];
     while !shared.stopped.load(Ordering::Relaxed) {
         let Ok((length, source)) = socket.recv_from(&mut buffer) else { continue };
-        let addresses = shared.process_addresses.lock().expect("no panic elsewhere");
+        let addresses = shared.process_addresses.lock().expect("lock is not poisoned");
         let Some(from) = addresses.iter().position(|address| *address == Some(source)) else { continue };
         drop(addresses);
         shared.datagrams.fetch_add(1, Ordering::Relaxed);
         shared.bytes.fetch_add(length as u64, Ordering::Relaxed);
-        let mut recorded = shared.recorded.lock().expect("no panic elsewhere");
+        let mut recorded = shared.recorded.lock().expect("lock is not poisoned");
         if recorded.len() < MAX_RECORDED_DATAGRAMS {
             recorded.push((n, buffer[..length].to_vec()));
         }
         drop(recorded);
-        let delays = shared.faults.lock().expect("no panic elsewhere").delivery_delays(from, n, &mut rng);
+        let delays = shared.faults.lock().expect("lock is not poisoned").delivery_delays(from, n, &mut rng);
         for delay_us in delays {
             enqueue(shared, Instant::now() + Duration::from_micros(delay_us), n, buffer[..length].to_vec());
         }
@@ -135,13 +136,13 @@
 /// Sends the datagrams that are due to their processes.
 fn deliver_datagrams(shared: &Shared, sockets: &[UdpSocket]) {
     while !shared.stopped.load(Ordering::Relaxed) {
-        let mut queue = shared.queue.lock().expect("no panic elsewhere");
+        let mut queue = shared.queue.lock().expect("lock is not poisoned");
         let due = queue.peek().is_some_and(|next| next.0 .0 <= Instant::now());
         let next = if due { queue.pop() } else { None };
         drop(queue);
         match next {
             Some(std::cmp::Reverse((_, _, n, bytes))) => {
-                let address = shared.process_addresses.lock().expect("no panic elsewhere")[n];
+                let address = shared.process_addresses.lock().expect("lock is not poisoned")[n];
                 if let Some(address) = address {
                     let _ = sockets[n].send_to(&bytes, address);
                 }
--- a/lab/src/view.rs
+++ b/lab/src/view.rs
@@ -127,7 +127,7 @@
 /// Formats the p50, p99 and maximum of times.
 pub fn quantiles(times: &[u64]) -> String {
     let mut histogram =
-        Histogram::<u64>::new_with_bounds(1, 10_000_000, 3).expect("three digits are allowed");
+        Histogram::<u64>::new_with_bounds(1, 10_000_000, 3).expect("three significant digits are allowed");
     times.iter().for_each(|t| histogram.saturating_record(*t));
     let quantile = |q| histogram.value_at_quantile(q);
     format!("p50 {} p99 {} max {}", quantile(0.5), quantile(0.99), histogram.max())
--- a/lab/src/virtual_network.rs
+++ b/lab/src/virtual_network.rs
@@ -50,6 +50,7 @@
     }
 }
 
+/// A member with its clock and its receive buffer.
 struct Node {
     address: SocketAddr,
     view: Option<View>,
@@ -68,6 +69,7 @@
     facts_published: u32,
 }
 
+/// What occurs at a scheduled time.
 enum ScheduledEvent {
     Deliver(usize, SocketAddr, Vec<u8>),
     Wake(usize),
@@ -113,8 +115,8 @@
     SocketAddr::from(([127, 1, (n >> 8) as u8, n as u8], 7946))
 }
 
-/// Rewrites a datagram to a newer protocol version: raises the version number and, where there is room, appends a
-/// field that this version does not know.
+/// Rewrites a datagram to a newer protocol version: raises the version number and, where there is room, appends
+/// bytes after the body.
 pub fn to_newer_version(bytes: &mut Vec<u8>) {
     bytes[2] += 1;
     if bytes.len() + 8 <= DATAGRAM_MOST {
@@ -220,7 +222,7 @@
             fleet: "lab".into(),
             own,
             seeds: (0..config.seeds).map(address).collect(),
-            prefixes: vec!["127.0.0.0/8".parse().expect("a prefix")],
+            prefixes: vec!["127.0.0.0/8".parse().expect("valid prefix")],
             detection: config.detection,
             seed: config.seed ^ (n as u64) << 20 ^ node.starts << 40,
         };
