--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -7,7 +7,7 @@
 pub mod controller;
 pub mod hub;
 
-use crate::program::{target, ChangeLog, Site};
+use crate::program::{target_json, ChangeLog, Deployment};
 use audit::{audit, Findings, Period, RunFacts};
 use caller::{Connection, ConnectionEnd, Requests};
 use controller::Controller;
@@ -104,7 +104,7 @@
     /// Publishes the state of a hub in the change log.
     fn publish(&self, hub: &Hub, state: &str, boot_ms: u64) {
         self.log_action(format!("change log: {} {state}", hub.uid));
-        self.log.tell(false, &[target(&hub.uid, hub.address, hub.place, state, boot_ms)]);
+        self.log.append(false, &[target_json(&hub.uid, hub.address, hub.place, state, boot_ms)]);
     }
 
     /// Records a fault of a hub that ends now.
@@ -114,11 +114,11 @@
     }
 
     /// Returns the configuration for a controller that starts now.
-    fn document(&self, site: &Site, controller: usize, address: SocketAddr) -> String {
+    fn document(&self, site: &Deployment, controller: usize, address: SocketAddr) -> String {
         let known = self.log.since(0);
         let (balancers, places, change_log) = (site.balancers, site.places, site.change_log);
         let starts = self.facts.borrow().process_ends.len() as u64;
-        Site { balancers, places, change_log, known }.document(controller, address, starts)
+        Deployment { balancers, places, change_log, known }.config_json(controller, address, starts)
     }
 
     /// Returns a new call id, distinct for each controller.
@@ -240,7 +240,7 @@
     run: Run,
     number: usize,
     mut controller: Controller,
-    site: Rc<Site>,
+    site: Rc<Deployment>,
     mut rng: StdRng,
 ) -> io::Result<()> {
     let offset_s = number as f64 * 1.5;
@@ -284,7 +284,7 @@
     run: &Run,
     number: usize,
     controller: &mut Controller,
-    site: &Site,
+    site: &Deployment,
 ) -> io::Result<()> {
     run.log_action(format!("TERM to n{number}"));
     let from = Instant::now();
@@ -364,10 +364,10 @@
 async fn suspend_change_log(run: Run, mut rng: StdRng) {
     sleep_until(run.start + random_duration(&mut rng, FAULT_START_MIN_S, FAULT_START_MAX_S)).await;
     run.log_action("the change log stops responding".into());
-    run.log.set_silent(true);
+    run.log.set_unresponsive(true);
     let from = Instant::now();
     sleep(random_duration(&mut rng, 1.0, 4.0)).await;
-    run.log.set_silent(false);
+    run.log.set_unresponsive(false);
     run.facts.borrow_mut().change_log_outages.push((from, Instant::now()));
     run.log_action("the change log responds again".into());
 }
@@ -399,13 +399,13 @@
         hubs.push(Hub::start(number, &record, next_rng())?);
     }
     let targets: Vec<String> =
-        hubs.iter().map(|h| target(&h.uid, h.address, h.place, "in_service", 0)).collect();
-    log.tell(true, &targets);
-    let site = Site { balancers: CONTROLLERS, places: HUBS, change_log, known: log.since(0) };
+        hubs.iter().map(|h| target_json(&h.uid, h.address, h.place, "in_service", 0)).collect();
+    log.append(true, &targets);
+    let site = Deployment { balancers: CONTROLLERS, places: HUBS, change_log, known: log.since(0) };
     let mut controllers = Vec::new();
     for index in 0..CONTROLLERS {
         let mut controller = Controller::new(&plan.binary, folder, index)?;
-        controller.start(&site.document(index, controller.address, seed)).await?;
+        controller.start(&site.config_json(index, controller.address, seed)).await?;
         controllers.push(controller);
     }
     let site = Rc::new(site);
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -3,49 +3,57 @@
 
 use petreldock::fleet::view::{Notification, Phase, MAX_MEMBERS};
 use petreldock::fleet::wire::{self, Identity, Kind};
-use petreldock_lab::net::{address, later, Net, Plan};
-use petreldock_lab::script::{Act, Script, Who};
+use petreldock_lab::script::{FaultAction, ProcessRange, Script};
+use petreldock_lab::virtual_network::{address, to_newer_version, SimulationConfig, VirtualNetwork};
 use std::collections::BTreeMap;
 
 /// A fleet of `size` members on which `script` is scheduled.
-fn scripted_net(seed: u64, size: usize, script: &str) -> Net {
+fn scripted_net(seed: u64, size: usize, script: &str) -> VirtualNetwork {
     let script: Script = script.parse().expect("a script");
     println!("seed {seed}, {size} members\n{script}");
-    Net::new(Plan::new(seed, size), &script)
+    VirtualNetwork::new(SimulationConfig::new(seed, size), &script)
 }
 
 /// A fleet of `size` members that have all found one another.
-fn joined_net(seed: u64, size: usize) -> Net {
+fn joined_net(seed: u64, size: usize) -> VirtualNetwork {
     let mut net = scripted_net(seed, size, &format!("0 start 0-{}", size - 1));
-    assert!(net.until(10_000, Net::settled).is_some(), "the members do not find one another");
+    assert!(
+        net.run_until(10_000, VirtualNetwork::converged).is_some(),
+        "the members do not find one another"
+    );
     net.run(3_000);
-    net.said.clear();
+    net.reported.clear();
     net
 }
 
-fn apply(net: &mut Net, text: &str) {
-    println!("at {} ms: {text}", net.now() / 1000);
-    net.act(text.parse().expect("an act"));
+fn apply(net: &mut VirtualNetwork, text: &str) {
+    println!("at {} ms: {text}", net.now_us() / 1000);
+    net.apply(text.parse().expect("an act"));
 }
 
-fn assert_settles(net: &mut Net, within_ms: u64) {
-    let live_counts =
-        |n: &Net| n.running().map(|r| (r, n.view(r).map(|v| v.live().count()))).collect::<Vec<_>>();
-    assert!(net.until(within_ms, Net::settled).is_some(), "not settled: {:?}", live_counts(net));
+fn assert_settles(net: &mut VirtualNetwork, within_ms: u64) {
+    let live_counts = |n: &VirtualNetwork| {
+        n.running().map(|r| (r, n.view(r).map(|v| v.live().count()))).collect::<Vec<_>>()
+    };
+    assert!(
+        net.run_until(within_ms, VirtualNetwork::converged).is_some(),
+        "not settled: {:?}",
+        live_counts(net)
+    );
 }
 
 /// The reports that a member is down, as pairs of the reporting and the reported member's number.
-fn reported_down(net: &Net) -> Vec<(usize, usize)> {
+fn reported_down(net: &VirtualNetwork) -> Vec<(usize, usize)> {
     let number = |i: &Identity| (0..1024).find(|n| address(*n) == i.address).expect("a member");
-    let reports = net.said.iter().filter_map(|s| match &s.news {
-        Notification::MemberDown(identity) => Some((s.by, number(identity))),
+    let reports = net.reported.iter().filter_map(|s| match &s.event {
+        Notification::MemberDown(identity) => Some((s.reporter, number(identity))),
         _ => None,
     });
     reports.collect()
 }
 
-fn count_notifications(net: &Net, by: usize, matches: impl Fn(&Notification) -> bool) -> usize {
-    net.said.iter().filter(|s| s.by == by && matches(&s.news)).count()
+fn count_notifications(net: &VirtualNetwork, by: usize, matches: impl Fn(&Notification) -> bool) -> usize {
+    net.reported.iter().filter(|s| s.reporter == by && matches(&s.event)).count()
 }
 
 /// Checks that no member's view of another member's facts goes back to an earlier version. In these tests the facts
@@ -54,7 +62,7 @@
 struct FactsMonitor(BTreeMap<(usize, usize), (u64, u32)>);
 
 impl FactsMonitor {
-    fn check(&mut self, net: &Net) {
+    fn check(&mut self, net: &VirtualNetwork) {
         for by in net.running().collect::<Vec<_>>() {
             for (about, seen) in net.members(by).iter().enumerate() {
                 let Some((facts, _)) = &seen.facts else { continue };
@@ -174,10 +182,10 @@
     let mut net = joined_net(8, 20);
     apply(&mut net, "split 0-7");
     for tenth in 0..10 {
-        let who = Who(tenth * 2..=tenth * 2 + 1);
-        net.act(Act::Leave(who.clone()));
+        let who = ProcessRange(tenth * 2..=tenth * 2 + 1);
+        net.apply(FaultAction::Leave(who.clone()));
         net.run(500);
-        net.act(Act::Start(who));
+        net.apply(FaultAction::Start(who));
         net.run(700);
     }
     apply(&mut net, "heal");
@@ -208,7 +216,7 @@
         net.run(pause);
         apply(&mut net, "start 6");
         assert_settles(&mut net, 5_000);
-        net.said.clear();
+        net.reported.clear();
         for _ in 0..100 {
             net.run(50);
             monitor.check(&net);
@@ -230,7 +238,7 @@
 fn a_member_restarted_with_its_clock_set_back_is_accepted() {
     let mut net = joined_net(11, 8);
     apply(&mut net, "kill 5");
-    net.set_back(5, 20_000_000);
+    net.set_clock_back(5, 20_000_000);
     apply(&mut net, "start 5");
     assert_settles(&mut net, 5_000);
     net.run(5_000);
@@ -300,7 +308,7 @@
 #[test]
 fn replayed_datagrams_change_nothing() {
     let mut net = scripted_net(15, 8, "0 start 0-7");
-    net.record = 5_000;
+    net.record_limit = 5_000;
     net.run(5_000);
     apply(&mut net, "kill 2");
     net.run(5_000);
@@ -309,13 +317,13 @@
     let mut monitor = FactsMonitor::default();
     net.run(60_000);
     monitor.check(&net);
-    net.said.clear();
+    net.reported.clear();
     let hash = net.view(0).expect("runs").hash();
     let recorded = std::mem::take(&mut net.recorded);
     assert!(recorded.len() > 1_000);
-    net.record = 0;
+    net.record_limit = 0;
     for (to, from, bytes) in recorded {
-        net.arrives(to, from, bytes);
+        net.deliver(to, from, bytes);
         net.run(2);
     }
     monitor.check(&net);
@@ -327,7 +335,7 @@
 #[test]
 fn members_of_two_protocol_versions_interoperate() {
     let mut net = scripted_net(16, 10, "0 start 0-9");
-    net.newer = Some(Who(5..=9));
+    net.newer_version_members = Some(ProcessRange(5..=9));
     assert_settles(&mut net, 10_000);
     net.run(10_000);
     apply(&mut net, "kill 7");
@@ -335,11 +343,11 @@
     // A datagram that requires a reader of a later version is dropped and counted.
     let view = net.view(9).expect("runs");
     let mut bytes = wire::encode_datagram("lab", view.own(), Kind::Sync, false, &[0; 256]);
-    later(&mut bytes);
+    to_newer_version(&mut bytes);
     bytes[3] = 2;
     let sum = wire::checksum(&bytes);
     bytes[6..10].copy_from_slice(&sum.to_be_bytes());
-    net.arrives(0, address(9), bytes);
+    net.deliver(0, address(9), bytes);
     net.run(10);
     assert_eq!(net.view(0).expect("runs").counters().unsupported_version, 1);
 }
@@ -360,7 +368,7 @@
         }
         let (body, taken) = wire::encode_entries(&entries, 1_200);
         assert!(taken > 10);
-        net.arrives(0, address(3), wire::encode_datagram("lab", &sender, Kind::Entries, false, &body));
+        net.deliver(0, address(3), wire::encode_datagram("lab", &sender, Kind::Entries, false, &body));
     }
     let view = net.view(0).expect("runs");
     assert!(view.largest_table() <= MAX_MEMBERS, "{} in the tables", view.largest_table());
@@ -391,7 +399,7 @@
             foca::Member::down(ghost)
         };
         let (body, _) = wire::encode_entries(&(0..20).map(down_entry).collect::<Vec<_>>(), 1_200);
-        net.arrives(0, address(3), wire::encode_datagram("lab", &sender, Kind::Entries, false, &body));
+        net.deliver(0, address(3), wire::encode_datagram("lab", &sender, Kind::Entries, false, &body));
     }
     let view = net.view(0).expect("runs");
     assert!(
@@ -428,7 +436,7 @@
             wire::encode_datagram("", &known, Kind::StatusRequest, false, &[0; 16]),
         ),
     ] {
-        net.arrives(0, from, bytes);
+        net.deliver(0, from, bytes);
     }
     let counters = net.view(0).expect("runs").counters();
     assert_eq!(
@@ -451,7 +459,7 @@
     apply(&mut net, "kill 70");
     net.run(6_000);
     apply(&mut net, "start 70");
-    let known = net.until(10_000, |n| n.view(70).is_some_and(|v| v.live().count() == 80));
+    let known = net.run_until(10_000, |n| n.view(70).is_some_and(|v| v.live().count() == 80));
     assert!(known.is_some_and(|us| us < 3_000_000), "{known:?} us after its start");
     assert_settles(&mut net, 2_000);
 }
@@ -460,7 +468,7 @@
 fn a_planned_leave_is_known_within_a_second() {
     let mut net = joined_net(19, 10);
     apply(&mut net, "leave 4");
-    let known = net.until(2_000, Net::settled);
+    let known = net.run_until(2_000, VirtualNetwork::converged);
     assert!(known.is_some_and(|us| us < 1_000_000), "{known:?} us after it left");
 }
 
@@ -480,7 +488,7 @@
     let run = || {
         let mut net = scripted_net(21, 12, "0 start 0-11\n3000 loss 10\n5000 kill 4\n9000 start 4");
         net.run(12_000);
-        (net.sent, net.said.len(), net.view(0).map(|v| v.hash()))
+        (net.sent, net.reported.len(), net.view(0).map(|v| v.hash()))
     };
     assert_eq!(run(), run());
 }
@@ -491,8 +499,8 @@
     let (suspect, querier) =
         (net.view(0).expect("runs").own().clone(), net.view(3).expect("runs").own().clone());
     let body: Vec<u8> = [suspect.generation, 0].iter().flat_map(|n| n.to_be_bytes()).collect();
-    net.record = 5_000;
-    net.arrives(0, address(3), wire::encode_datagram("lab", &querier, Kind::SuspectQuery, false, &body));
+    net.record_limit = 5_000;
+    net.deliver(0, address(3), wire::encode_datagram("lab", &querier, Kind::SuspectQuery, false, &body));
     let messages: Vec<_> = net
         .recorded
         .iter()
@@ -506,6 +514,6 @@
     // A query about an earlier generation is ignored.
     net.recorded.clear();
     let body: Vec<u8> = [suspect.generation - 1, 0].iter().flat_map(|n| n.to_be_bytes()).collect();
-    net.arrives(0, address(3), wire::encode_datagram("lab", &querier, Kind::SuspectQuery, false, &body));
+    net.deliver(0, address(3), wire::encode_datagram("lab", &querier, Kind::SuspectQuery, false, &body));
     assert!(net.recorded.is_empty());
 }
