--- a/lab/src/soak/hub.rs
+++ b/lab/src/soak/hub.rs
@@ -235,7 +235,7 @@
                 }
             }
             kind::TEST => {
-                let _ = out.send(message(kind::TESTED, call, &[(code::CAUSE, &[1])]));
+                let _ = out.send(message(kind::TEST_RESULT, call, &[(code::CAUSE, &[1])]));
             }
             _ => {}
         }
--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -149,7 +149,7 @@
 }
 
 /// Subjects a hub to one randomly drawn fault, from its start to its end.
-async fn inject_hub_faults(run: Run, hub: Rc<RefCell<Option<Hub>>>, mut rng: StdRng) -> io::Result<()> {
+async fn inject_hub_fault(run: Run, hub: Rc<RefCell<Option<Hub>>>, mut rng: StdRng) -> io::Result<()> {
     let Some(mut hub) = hub.borrow_mut().take() else { return Ok(()) };
     sleep_until(run.start + random_duration(&mut rng, FAULT_START_MIN_S, FAULT_START_MAX_S)).await;
     let (from, number) = (Instant::now(), hub.place);
@@ -441,7 +441,7 @@
     let hubs: Vec<Rc<RefCell<Option<Hub>>>> =
         hubs.into_iter().map(|h| Rc::new(RefCell::new(Some(h)))).collect();
     for hub in hubs.iter().take(faulty_count) {
-        fault_tasks.push(spawn_local(inject_hub_faults(run.clone(), hub.clone(), next_rng())));
+        fault_tasks.push(spawn_local(inject_hub_fault(run.clone(), hub.clone(), next_rng())));
     }
     if seed % 5 < 2 {
         tasks.push(spawn_local(suspend_change_log(run.clone(), next_rng())));
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -253,22 +253,22 @@
 }
 
 fn hub_row(learned: &LearnedHub) -> HubRow {
-    let (hub, belief) = (&learned.hub, &learned.belief);
+    let (hub, estimate) = (&learned.hub, &learned.estimate);
     HubRow {
         uid: hub.uid.to_string(),
         endpoint: hub.endpoint.to_string(),
         place: hub.place,
         born_ms: hub.born.map(|b| b.0 / 1000),
-        carried_per_s: belief.carried,
-        carries_per_s: belief.carries,
-        can_take_per_s: belief.can_take,
-        heard_ms: belief.heard.0 / 1000,
-        wait_ms: belief.wait.0 as f64 / 1e3,
-        delay_ms: belief.delay.0 as f64 / 1e3,
-        weight: belief.weight,
-        pass: belief.pass,
-        share: belief.share,
-        silent: belief.silent,
+        carried_per_s: estimate.carried,
+        carries_per_s: estimate.carries,
+        can_take_per_s: estimate.can_take,
+        heard_ms: estimate.heard.0 / 1000,
+        wait_ms: estimate.wait.0 as f64 / 1e3,
+        delay_ms: estimate.delay.0 as f64 / 1e3,
+        weight: estimate.weight,
+        pass: estimate.pass,
+        share: estimate.share,
+        silent: estimate.silent,
     }
 }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -132,11 +132,11 @@
     origin: Origin,
     class: Arc<str>,
     /// Whether the set-up may be repeated at a hub once it may have run.
-    effect: Idempotency,
+    idempotency: Idempotency,
     number: Arc<str>,
     description: Description,
     deadline: Micros,
-    /// The final answer was given, or none is owed any more.
+    /// The final answer was given, or none is due any more.
     answered: bool,
     established: bool,
     attempt: Option<Attempt>,
@@ -150,7 +150,7 @@
 impl Call {
     /// Whether a further attempt, or telling the caller that nothing ran, could do harm.
     fn must_not_repeat(&self) -> bool {
-        self.effect != Idempotency::Free && self.may_have_run
+        self.idempotency != Idempotency::Free && self.may_have_run
     }
 }
 
@@ -303,7 +303,7 @@
         })
     }
 
-    /// Takes state that an earlier run saved. It is applied to the hubs that the next lists name.
+    /// Sets the state that an earlier run saved. It is applied to the hubs that the next lists name.
     pub fn restore(&mut self, restored: RestoredState) {
         self.restored = Some(restored);
     }
@@ -377,11 +377,11 @@
         let (hubs, controller) = (&self.hubs, &self.controller);
         let learned_hub = |i: usize| {
             let hub = hubs.get(i).filter(|h| h.phase != Phase::Gone)?;
-            Some(LearnedHub { hub: hub.identity(), belief: controller.estimate(hub.id)? })
+            Some(LearnedHub { hub: hub.identity(), estimate: controller.estimate(hub.id)? })
         };
         let collector = export.collector.get_or_insert_default();
         if let Some(mut learned_hubs) = collector.collect(hubs.len(), max_hubs, learned_hub) {
-            let unlisted = self.restored.iter().flat_map(|m| m.unlisted(now)).cloned();
+            let unlisted = self.restored.iter().flat_map(|restored| restored.unlisted(now)).cloned();
             learned_hubs.extend(unlisted.take(MAX_HUBS.saturating_sub(hubs.len())));
             let learned = LearnedState { at: now, hold: controller.mean_hold_secs(), hubs: learned_hubs };
             export.collector = None;
@@ -397,7 +397,7 @@
         let mut recalled = Vec::new();
         for hub in newly_listed {
             hub.newly_listed = false;
-            recalled.extend(restored.recall(&hub.identity(), now).map(|belief| (hub.id, belief)));
+            recalled.extend(restored.recall(&hub.identity(), now).map(|estimate| (hub.id, estimate)));
         }
         let hold = restored.hold(now);
         if restored.is_empty() {
@@ -416,7 +416,7 @@
                 TimerEvent::Attempt(id, number) => {
                     let attempt =
                         self.calls.get(&id).filter(|c| !c.established).and_then(|c| c.attempt.as_ref());
-                    if attempt.is_some_and(|o| o.number == number && o.give_up_reason.is_none()) {
+                    if attempt.is_some_and(|a| a.number == number && a.give_up_reason.is_none()) {
                         self.give_up(id, Outcome::TimedOut);
                     }
                 }
@@ -486,7 +486,8 @@
             return self.to_front(offer.front, ToFront::Refuse(offer.origin, offer.call, Micros(0)));
         }
         let class = self.names.classes.get(&*offer.class).copied();
-        let Some((class, (effect, class_deadline))) = class.and_then(|c| Some((c, *self.classes.get(c)?)))
+        let Some((class, (idempotency, class_deadline))) =
+            class.and_then(|c| Some((c, *self.classes.get(c)?)))
         else {
             return self.to_front(offer.front, ToFront::Fail(offer.origin, offer.call));
         };
@@ -494,8 +495,8 @@
         let deadline = offer.deadline.unwrap_or(now + class_deadline).min(now + longest);
         // The number of calls alone does not bound the memory: set-ups of 16 KiB each would exhaust it long
         // before the table is full.
-        let held = self.description_bytes + offer.description.bytes.len();
-        if self.calls.len() >= self.limits.max_open || held > self.limits.max_description_bytes {
+        let description_bytes = self.description_bytes + offer.description.bytes.len();
+        if self.calls.len() >= self.limits.max_open || description_bytes > self.limits.max_description_bytes {
             return self.to_front(offer.front, ToFront::Refuse(offer.origin, offer.call, Micros(0)));
         }
         self.last_call_id += 1;
@@ -511,7 +512,7 @@
             transit: false,
         };
         tracing::debug!(call = %offer.call, within_us = (deadline - now).0, "call accepted");
-        self.description_bytes = held;
+        self.description_bytes = description_bytes;
         self.unanswered += 1;
         self.call_by_name.insert(offer.call, id);
         self.timers.add(deadline, TimerEvent::Deadline(id));
@@ -521,7 +522,7 @@
             front: offer.front,
             origin: offer.origin,
             class: offer.class,
-            effect,
+            idempotency,
             number: offer.number,
             description: offer.description,
             deadline,
@@ -558,7 +559,7 @@
             return;
         };
         let established = self.calls.get(&id).filter(|c| c.front == front && c.established);
-        if let Some(link) = established.and_then(|c| c.attempt.as_ref()).map(|o| o.link) {
+        if let Some(link) = established.and_then(|c| c.attempt.as_ref()).map(|a| a.link) {
             self.to_hub(link, ToHub::Release(name, cause));
             self.end_attempt(now, id, Outcome::Withdrawn, false, Report::default());
         }
@@ -672,7 +673,7 @@
         self.end_attempt(now, id, outcome, false, report);
     }
 
-    /// Fails the call if its final answer is owed. The open attempt is not given up, because the hub has
+    /// Fails the call if it has no final answer yet. The open attempt is not given up, because the hub has
     /// already ended it.
     fn fail_without_give_up(&mut self, now: Micros, id: CallId) {
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
@@ -695,7 +696,7 @@
         let id = self.call_by_name.get(&name).copied();
         let call = id.and_then(|id| self.calls.get_mut(&id));
         let attempt = call.and_then(|c| {
-            c.attempt.as_ref().filter(|o| o.link == link).map(|o| (o.give_up_reason, c.established))
+            c.attempt.as_ref().filter(|a| a.link == link).map(|a| (a.give_up_reason, c.established))
         });
         match (id, attempt) {
             (Some(_), Some((_, true))) => {}
@@ -760,7 +761,7 @@
             let outcome = outcome::outcome_of(
                 ObservedEnd::ConnectionLost,
                 call.established,
-                call.attempt.as_ref().and_then(|o| o.give_up_reason),
+                call.attempt.as_ref().and_then(|a| a.give_up_reason),
             );
             self.end_attempt(now, id, outcome, false, Report::default());
         }
@@ -771,13 +772,13 @@
     fn call_at_link(&self, link: LinkId, name: CallName) -> Option<(CallId, &Call)> {
         let id = *self.call_by_name.get(&name)?;
         let call = self.calls.get(&id)?;
-        call.attempt.as_ref().filter(|o| o.link == link).map(|_| (id, call))
+        call.attempt.as_ref().filter(|a| a.link == link).map(|_| (id, call))
     }
 
     fn open_attempt(&self, name: CallName, number: u64) -> Option<(CallId, &Attempt)> {
         let id = *self.call_by_name.get(&name)?;
         let attempt = self.calls.get(&id)?.attempt.as_ref()?;
-        Some((id, attempt)).filter(|(_, o)| o.number == number)
+        Some((id, attempt)).filter(|(_, a)| a.number == number)
     }
 
     fn end_attempt(&mut self, now: Micros, id: CallId, outcome: Outcome, number_busy: bool, report: Report) {
@@ -806,7 +807,7 @@
     fn give_up(&mut self, id: CallId, reason: Outcome) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let name = call.name;
-        let Some(attempt) = call.attempt.as_mut().filter(|o| o.give_up_reason.is_none()) else { return };
+        let Some(attempt) = call.attempt.as_mut().filter(|a| a.give_up_reason.is_none()) else { return };
         attempt.give_up_reason = Some(reason);
         tracing::debug!(call = %name, attempt = attempt.number, ending = ?reason, "giving up attempt");
         let (link, number) = (attempt.link, attempt.number);
@@ -1044,7 +1045,7 @@
                     Action::Cancel(id, index) => {
                         let attempt =
                             self.calls.get(&id).filter(|c| !c.established).and_then(|c| c.attempt.as_ref());
-                        if attempt.is_some_and(|o| o.index == index) {
+                        if attempt.is_some_and(|a| a.index == index) {
                             self.give_up(id, Outcome::Withdrawn);
                         }
                     }
@@ -1114,7 +1115,7 @@
     fn give_final_answer(&mut self, now: Micros, action: Action) {
         let (Action::Refuse(id, _) | Action::Fail(id)) = action else { return };
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
-        let open = call.effect != Idempotency::Free && call.attempt.is_some();
+        let open = call.idempotency != Idempotency::Free && call.attempt.is_some();
         let action = if call.must_not_repeat() || open { Action::Fail(id) } else { action };
         call.answered = true;
         self.unanswered -= 1;
@@ -1186,7 +1187,7 @@
                 withdrawn_later.insert(key(*front, *origin, *call));
                 true
             }
-            Input::Offer(o) => !withdrawn_later.remove(&key(o.front, o.origin, o.call)),
+            Input::Offer(offer) => !withdrawn_later.remove(&key(offer.front, offer.origin, offer.call)),
             _ => true,
         })
         .collect();
--- a/src/fleet/view/facts.rs
+++ b/src/fleet/view/facts.rs
@@ -180,7 +180,7 @@
         now: Micros,
         address: SocketAddr,
         room_left: &mut usize,
-        to: &mut Vec<Record>,
+        records: &mut Vec<Record>,
     ) -> bool {
         let Some(entry) = self.entries.get_mut(&address) else { return true };
         let age_ms = (entry.age_at_receipt + (now - entry.received_at)).0 / 1000;
@@ -197,7 +197,7 @@
         }
         *room_left -= bytes;
         entry.times_sent += 1;
-        to.push(record);
+        records.push(record);
         true
     }
 
--- a/src/fleet/view/mod.rs
+++ b/src/fleet/view/mod.rs
@@ -569,8 +569,8 @@
                 }
             }
             Kind::Sync | Kind::SyncReply if active => {
-                let theirs: [u64; BUCKETS] = wire::read_numbers(body)?;
-                self.send_differing_entries(effective, sender.address, &theirs, out);
+                let peer_sums: [u64; BUCKETS] = wire::read_numbers(body)?;
+                self.send_differing_entries(effective, sender.address, &peer_sums, out);
                 if kind == Kind::Sync {
                     let sums = self.encode_sums();
                     self.send(effective, sender.address, Kind::SyncReply, &sums, out);
@@ -714,17 +714,17 @@
         &mut self,
         effective: Micros,
         to: SocketAddr,
-        theirs: &[u64; BUCKETS],
+        peer_sums: &[u64; BUCKETS],
         out: &mut Vec<Output>,
     ) {
-        let own = self.bucket_sums();
-        let differs: Vec<bool> = own.iter().zip(theirs).map(|(a, b)| a != b).collect();
+        let own_sums = self.bucket_sums();
+        let differs: Vec<bool> = own_sums.iter().zip(peer_sums).map(|(a, b)| a != b).collect();
         if differs.iter().all(|d| !d) {
             return;
         }
         let mut entries: Vec<Member<Identity>> = Vec::new();
-        let this = Member::new(self.own().clone(), 0, State::Alive);
-        for member in self.swim.iter_membership_state().chain([&this]) {
+        let own_entry = Member::new(self.own().clone(), 0, State::Alive);
+        for member in self.swim.iter_membership_state().chain([&own_entry]) {
             if differs[bucket_of(member.id().address)] {
                 entries.push(member.clone());
             }
--- a/src/iax2/front.rs
+++ b/src/iax2/front.rs
@@ -405,19 +405,19 @@
     .encode()
 }
 
-/// Serves desk equipment until the core's channel closes. The front's outstanding work is added to `pending_work`.
+/// Serves desk equipment until the core's channel closes, and adds the front's outstanding work to `outstanding`.
 pub async fn run(
     mut front: Front,
     socket: UdpSocket,
-    pending_work: SharedCount,
+    outstanding: SharedCount,
     clock: Clock,
     core: mpsc::Sender<Input>,
-    mut answers: mpsc::Receiver<ToFront>,
+    mut messages: mpsc::Receiver<ToFront>,
 ) -> io::Result<()> {
     let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
-    let mut outstanding = pending_work.share();
+    let mut outstanding_share = outstanding.share();
     loop {
         tokio::select! {
             received = socket.recv_from(&mut datagram) => {
@@ -426,13 +426,13 @@
                     front.receive(clock.now(), from, &datagram[..length]);
                 }
             }
-            answer = answers.recv() => match answer {
-                Some(answer) => front.handle_message(clock.now(), answer),
+            message = messages.recv() => match message {
+                Some(message) => front.handle_message(clock.now(), message),
                 None => return Ok(()),
             },
             _ = ticks.tick() => {
                 front.tick(clock.now());
-                outstanding.set(front.outstanding_count());
+                outstanding_share.set(front.outstanding_count());
             }
         }
         for (to, datagram) in front.datagrams.drain(..) {
--- a/src/learning/encoding.rs
+++ b/src/learning/encoding.rs
@@ -104,25 +104,25 @@
     }
 
     impl From<&LearnedHub> for Hub {
-        fn from(kept: &LearnedHub) -> Hub {
-            let (hub, b) = (&kept.hub, &kept.belief);
+        fn from(learned: &LearnedHub) -> Hub {
+            let (hub, estimate) = (&learned.hub, &learned.estimate);
             Hub {
                 uid: hub.uid.to_string(),
                 endpoint: hub.endpoint.to_string(),
                 place: hub.place,
                 born: hub.born.map(|b| b.0),
-                carried: b.carried,
-                heard: b.heard.0,
-                carries: b.carries,
-                can_take: b.can_take,
-                wait: b.wait.0,
-                delay: b.delay.0,
-                weight: b.weight,
-                pass: b.pass,
-                share: b.share,
-                share_until: b.share_until.0,
-                silent: b.silent,
-                cold_until: b.cold_until.0,
+                carried: estimate.carried,
+                heard: estimate.heard.0,
+                carries: estimate.carries,
+                can_take: estimate.can_take,
+                wait: estimate.wait.0,
+                delay: estimate.delay.0,
+                weight: estimate.weight,
+                pass: estimate.pass,
+                share: estimate.share,
+                share_until: estimate.share_until.0,
+                silent: estimate.silent,
+                cold_until: estimate.cold_until.0,
             }
         }
     }
@@ -135,7 +135,7 @@
                 place: h.place,
                 born: h.born.map(Micros),
             };
-            let belief = ServerEstimate {
+            let estimate = ServerEstimate {
                 carried: h.carried,
                 heard: Micros(h.heard),
                 carries: h.carries,
@@ -149,7 +149,7 @@
                 silent: h.silent,
                 cold_until: Micros(h.cold_until),
             };
-            LearnedHub { hub, belief }
+            LearnedHub { hub, estimate }
         }
     }
 }
--- a/src/learning/mod.rs
+++ b/src/learning/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! This module does no I/O and reads no clock. A [`LearnedState`] is what is saved; [`encode`] and [`decode`]
 //! convert it to and from bytes, and old versions are read through a chain of migrations. A [`RestoredState`]
-//! is a learned state that was read back: it returns the belief about each hub once, only for the same hub
+//! is a learned state that was read back: it returns the estimate for each hub once, only for the same hub
 //! process, and decayed according to its age.
 
 mod encoding;
@@ -20,7 +20,7 @@
 /// Saved times up to this far ahead of the clock are accepted as current, because clocks are corrected in
 /// small steps.
 const MAX_CLOCK_LEAD: Micros = Micros(500_000);
-/// Maximum plausible rate of set-ups of a hub, per second. Beliefs with higher rates are dropped.
+/// Maximum plausible rate of set-ups of a hub, per second. Estimates with higher rates are dropped.
 const MAX_SET_UPS_PER_SECOND: f64 = 1e6;
 /// Maximum plausible wait, delay, cold period or mean call length. Longer values are dropped.
 const MAX_SPAN: Micros = Micros(600_000_000);
@@ -47,7 +47,7 @@
     /// The hub process.
     pub hub: Identity,
     /// The decision module's estimates for this hub.
-    pub belief: ServerEstimate,
+    pub estimate: ServerEstimate,
 }
 
 /// Learned state of all hubs at one point in time.
@@ -92,10 +92,10 @@
     }
 }
 
-/// Returns the age of a value saved at `kept`, or `None` if that time lies in the future, so the age is
+/// Returns the age of a value saved at `saved_at`, or `None` if that time lies in the future, so the age is
 /// unknown.
-fn age(kept: Micros, now: Micros) -> Option<Micros> {
-    (kept <= now + MAX_CLOCK_LEAD).then(|| now - kept)
+fn age(saved_at: Micros, now: Micros) -> Option<Micros> {
+    (saved_at <= now + MAX_CLOCK_LEAD).then(|| now - saved_at)
 }
 
 /// Returns the weight that a value of this age still has, from 1 down to 0.
@@ -106,45 +106,45 @@
     }
 }
 
-/// Whether all values of a belief lie in their plausible ranges.
-fn is_plausible(belief: &ServerEstimate) -> bool {
+/// Whether all values of an estimate lie in their plausible ranges.
+fn is_plausible(estimate: &ServerEstimate) -> bool {
     let rate = |r: f64| (0.0..=MAX_SET_UPS_PER_SECOND).contains(&r);
     let fraction = |p: f64| (0.0..=1.0).contains(&p);
-    rate(belief.carried)
-        && rate(belief.carries)
-        && rate(belief.can_take)
-        && fraction(belief.weight)
-        && fraction(belief.pass)
-        && fraction(belief.share)
-        && belief.wait <= MAX_SPAN
-        && belief.delay <= MAX_SPAN
+    rate(estimate.carried)
+        && rate(estimate.carries)
+        && rate(estimate.can_take)
+        && fraction(estimate.weight)
+        && fraction(estimate.pass)
+        && fraction(estimate.share)
+        && estimate.wait <= MAX_SPAN
+        && estimate.delay <= MAX_SPAN
 }
 
-/// Decays a belief of this age: each value moves towards the default of a start without saved state.
-fn decayed(belief: &ServerEstimate, age: Micros, now: Micros, settings: &DecaySettings) -> ServerEstimate {
+/// Decays an estimate of this age: each value moves towards the default of a start without saved state.
+fn decayed(estimate: &ServerEstimate, age: Micros, now: Micros, settings: &DecaySettings) -> ServerEstimate {
     let (load, rate) = (remaining_weight(age, settings.load), remaining_weight(age, settings.rate));
     let decay_to_one = |figure: f64| 1.0 - (1.0 - figure) * load;
     let drop_if_stale = |figure: f64, weight: f64| if weight >= MIN_REMAINING_WEIGHT { figure } else { 0.0 };
     ServerEstimate {
-        carried: drop_if_stale(belief.carried, remaining_weight(age, settings.capacity)),
-        heard: belief.heard,
-        carries: drop_if_stale(belief.carries, rate),
+        carried: drop_if_stale(estimate.carried, remaining_weight(age, settings.capacity)),
+        heard: estimate.heard,
+        carries: drop_if_stale(estimate.carries, rate),
         // Scaled down with age, because a hub that is still cold gets as many set-ups as it said that it can
         // take.
-        can_take: drop_if_stale(belief.can_take * rate, rate),
-        wait: belief.wait.scale(remaining_weight(age, settings.wait)),
-        delay: belief.delay.scale(load),
-        weight: decay_to_one(belief.weight),
-        pass: decay_to_one(belief.pass),
+        can_take: drop_if_stale(estimate.can_take * rate, rate),
+        wait: estimate.wait.scale(remaining_weight(age, settings.wait)),
+        delay: estimate.delay.scale(load),
+        weight: decay_to_one(estimate.weight),
+        pass: decay_to_one(estimate.pass),
         // The share to hold back has its own expiry time, which a restart does not extend.
-        share: if belief.share_until > now { belief.share } else { 0.0 },
-        share_until: belief.share_until,
-        silent: belief.silent && remaining_weight(age, settings.signs) >= 0.5,
-        cold_until: Some(belief.cold_until).filter(|c| *c < now + MAX_SPAN).unwrap_or_default(),
+        share: if estimate.share_until > now { estimate.share } else { 0.0 },
+        share_until: estimate.share_until,
+        silent: estimate.silent && remaining_weight(age, settings.signs) >= 0.5,
+        cold_until: Some(estimate.cold_until).filter(|c| *c < now + MAX_SPAN).unwrap_or_default(),
     }
 }
 
-/// Learned state that was read back after a restart. The belief about each hub is returned once.
+/// Learned state that was read back after a restart. The estimate for each hub is returned once.
 #[derive(Debug, Default)]
 pub struct RestoredState {
     at: Micros,
@@ -179,14 +179,14 @@
             None => summary.from_future = true,
             Some(age) if age > restored.decay.max_age => summary.too_old = true,
             Some(_) => {
-                for kept in learned.hubs {
+                for learned_hub in learned.hubs {
                     let is_addable =
-                        restored.hubs.len() < MAX_HUBS && !restored.hubs.contains_key(&kept.hub.uid);
-                    let is_short =
-                        kept.hub.uid.len() <= MAX_NAME_BYTES && kept.hub.endpoint.len() <= MAX_NAME_BYTES;
-                    let is_past = age(kept.belief.heard, now).is_some();
-                    if is_addable && is_short && is_past && is_plausible(&kept.belief) {
-                        restored.hubs.insert(kept.hub.uid.clone(), kept);
+                        restored.hubs.len() < MAX_HUBS && !restored.hubs.contains_key(&learned_hub.hub.uid);
+                    let is_short = learned_hub.hub.uid.len() <= MAX_NAME_BYTES
+                        && learned_hub.hub.endpoint.len() <= MAX_NAME_BYTES;
+                    let is_past = age(learned_hub.estimate.heard, now).is_some();
+                    if is_addable && is_short && is_past && is_plausible(&learned_hub.estimate) {
+                        restored.hubs.insert(learned_hub.hub.uid.clone(), learned_hub);
                     }
                 }
             }
@@ -203,15 +203,15 @@
         Some(hold).filter(|h| is_fresh && *h > 0.0 && *h <= MAX_SPAN.secs())
     }
 
-    /// Returns the belief about a hub that a list names for the first time since the start. It is returned
+    /// Returns the estimate for a hub that a list names for the first time since the start. It is returned
     /// only once, and only for the same hub process: one with another start time is cold, and one with
     /// another address or place is another machine, so the saved capacity would overload it.
     pub fn recall(&mut self, hub: &Identity, now: Micros) -> Option<ServerEstimate> {
-        let kept = self.hubs.remove(&hub.uid).filter(|kept| kept.hub == *hub)?;
-        // The age counts from when the hub was last heard of. Counted from the time of the save, a belief
+        let learned_hub = self.hubs.remove(&hub.uid).filter(|learned_hub| learned_hub.hub == *hub)?;
+        // The age counts from when the hub was last heard of. Counted from the time of the save, an estimate
         // that was restored and saved again without news of the hub would appear fresh.
-        let age = age(kept.belief.heard, now).filter(|age| *age <= self.decay.max_age)?;
-        Some(decayed(&kept.belief, age, now, &self.decay))
+        let age = age(learned_hub.estimate.heard, now).filter(|age| *age <= self.decay.max_age)?;
+        Some(decayed(&learned_hub.estimate, age, now, &self.decay))
     }
 
     /// Whether nothing is left to restore.
@@ -223,8 +223,9 @@
     /// because the list may come late and a run that ends before it must not lose the state of the run
     /// before.
     pub fn unlisted(&self, now: Micros) -> impl Iterator<Item = &LearnedHub> {
-        let is_recent =
-            move |k: &&LearnedHub| age(k.belief.heard, now).is_some_and(|a| a <= self.decay.max_age);
+        let is_recent = move |learned_hub: &&LearnedHub| {
+            age(learned_hub.estimate.heard, now).is_some_and(|a| a <= self.decay.max_age)
+        };
         self.hubs.values().filter(is_recent)
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -878,17 +878,18 @@
     /// Takes over an estimate from before the start. Calls that it holds back could show that it is wrong, so
     /// a part is let through at once, and the first rate reported replaces it. A cold server gets no more
     /// than what the same process reported when it was colder.
-    fn restore(&mut self, past: &ServerEstimate, now: Micros) {
-        self.cold_until = self.cold_until.max(past.cold_until);
-        (self.peak_rate, self.can_take, self.last_set_up) = (past.carried, past.can_take, past.delay);
-        (self.wait, self.set_up_delay, self.answered_at) = (past.wait, past.delay, past.heard);
-        (self.weight, self.pass) = (past.weight.max(MIN_WEIGHT), past.pass.max(MIN_PASS));
+    fn restore(&mut self, estimate: &ServerEstimate, now: Micros) {
+        self.cold_until = self.cold_until.max(estimate.cold_until);
+        (self.peak_rate, self.can_take, self.last_set_up) =
+            (estimate.carried, estimate.can_take, estimate.delay);
+        (self.wait, self.set_up_delay, self.answered_at) = (estimate.wait, estimate.delay, estimate.heard);
+        (self.weight, self.pass) = (estimate.weight.max(MIN_WEIGHT), estimate.pass.max(MIN_PASS));
         (self.wait_updated_at, self.fleet_pass) = (Some(now), self.pass);
         (self.throttle.fraction, self.throttle.expires_at) =
-            (past.share, past.share_until.min(now + THROTTLE_TTL));
-        self.trial_at = past.silent.then_some(now);
-        if now >= self.cold_until && past.carries > 0.0 {
-            (self.service_rate, self.restored_rate) = (past.carries, past.carries);
+            (estimate.share, estimate.share_until.min(now + THROTTLE_TTL));
+        self.trial_at = estimate.silent.then_some(now);
+        if now >= self.cold_until && estimate.carries > 0.0 {
+            (self.service_rate, self.restored_rate) = (estimate.carries, estimate.carries);
         }
     }
 
@@ -962,17 +963,17 @@
             self.trial_at = self.trial_at.map(|t| t.min(now + TRIAL_INTERVAL));
         }
         self.fleet_pass += (self.pass.min(1.0 - self.throttle.current(now)) - self.fleet_pass) * gain;
-        let over = self.fleet_rate / self.service_rate.max(0.1) - 1.0;
-        let slope = if over > 0.0 {
-            (over - WAIT_TOLERANCE).clamp(0.0, MAX_WAIT_GROWTH)
+        let excess = self.fleet_rate / self.service_rate.max(0.1) - 1.0;
+        let slope = if excess > 0.0 {
+            (excess - WAIT_TOLERANCE).clamp(0.0, MAX_WAIT_GROWTH)
         } else {
-            over.max(-WAIT_DECAY)
+            excess.max(-WAIT_DECAY)
         };
         self.wait = (self.wait + Micros((slope.max(0.0) * span * 1e6) as u64))
             - Micros((-slope.min(0.0) * span * 1e6) as u64);
         self.wait_updated_at = self.wait_updated_at.map(|_| now);
-        let over = self.expected_wait(now).secs() / params.wait_threshold.secs();
-        let target = self.service_rate * (1.0 + FLOW_TARGET_GAIN * (1.0 - over)).max(MIN_PASS);
+        let wait_ratio = self.expected_wait(now).secs() / params.wait_threshold.secs();
+        let target = self.service_rate * (1.0 + FLOW_TARGET_GAIN * (1.0 - wait_ratio)).max(MIN_PASS);
         let reserve = SPARE_LINES_FACTOR * self.fleet_rate.max(1.0).sqrt();
         let full = if free < 1.0 { FULL_SERVER_RATIO } else { 1.0 };
         let target = target.min((used / params.hold_secs + (free - reserve) / FILL_SECS).max(0.0) * full);
--- a/src/main.rs
+++ b/src/main.rs
@@ -37,13 +37,13 @@
 /// The process exits this long before SIGKILL if the deadlines are too short for both [`EXIT_BEFORE_KILL`] and
 /// [`MIN_SHUTDOWN_TIME`].
 const MIN_EXIT_BEFORE_KILL: Duration = Duration::from_millis(100);
-/// The process exits early once no work was pending for this long. The period lets requests arrive that are still on
-/// their way, and work that is under way elsewhere.
+/// The process exits early once no work was outstanding for this long. The period lets requests arrive that are still
+/// on their way, and work that is under way elsewhere.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(100);
-/// Minimum number of consecutive checks that find no pending work, as a single check can take long if processor time is
-/// scarce.
+/// Minimum number of consecutive checks that find no outstanding work, as a single check can take long if processor
+/// time is scarce.
 const MIN_IDLE_CHECKS: u32 = 4;
-/// Interval between the checks for pending work during shutdown.
+/// Interval between the checks for outstanding work during shutdown.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Time limit for writing the learned state at the end, as SIGKILL is near.
 const STATE_SAVE_TIMEOUT: Duration = Duration::from_millis(250);
@@ -128,9 +128,9 @@
     let (to_sip_front, sip_messages) = mpsc::channel(core::FRONT_QUEUE_CAPACITY);
     let (status, status_receiver) = watch::channel(Status::default());
     let operator = &config.operator;
-    let pending_work = SharedCount::default();
+    let outstanding = SharedCount::default();
     let connect = {
-        let pending_work = pending_work.clone();
+        let outstanding = outstanding.clone();
         let (inputs, limits, local) = (inputs.clone(), config.limits.clone(), operator.local());
         let connection_limit = ConnectionLimit::new(limits.sockets);
         Box::new(move |link, endpoint: &str| {
@@ -141,7 +141,7 @@
                     endpoint,
                     limits.clone(),
                     &connection_limit,
-                    &pending_work,
+                    &outstanding,
                     clock,
                     inputs.clone(),
                 ),
@@ -155,7 +155,7 @@
         let with_key = |e: io::Error| io::Error::new(e.kind(), format!("iax2.listen: {listen}: {e}"));
         let socket = UdpSocket::bind(listen).await.map_err(with_key)?;
         let front = iax2::front::Front::new(FrontId(1), &operator.iax2_calls);
-        tokio::spawn(iax2::front::run(front, socket, pending_work.clone(), clock, inputs.clone(), messages));
+        tokio::spawn(iax2::front::run(front, socket, outstanding.clone(), clock, inputs.clone(), messages));
         tracing::info!(name = config.name, "serving IAX2 at {listen}");
     }
     let mut core = Core::new(&config, fronts, connect, status, clock.now())
@@ -197,14 +197,14 @@
         clock,
         core: inputs.clone(),
         status: status_receiver.clone(),
-        owed: pending_work.clone(),
+        outstanding: outstanding.clone(),
     };
     let serving = sip_server::run(sip_config, listener, sip_messages);
     let schedule = ShutdownSchedule::before_kill(config.settings.classes.iter().map(|c| c.deadline).max());
     tracing::info!(name = config.name, "serving at {listen}");
     let stop = async {
         tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
-        shut_down(inputs.clone(), clock, status_receiver, pending_work, schedule).await;
+        shut_down(inputs.clone(), clock, status_receiver, outstanding, schedule).await;
         if let Some((leave, _)) = &fleet {
             let _ = leave.send(()).await;
             leave.closed().await;
@@ -279,13 +279,13 @@
     }
 }
 
-/// Lets open calls be answered while callers still connect, and returns as soon as no work is pending, at the latest
-/// as the schedule says.
+/// Lets open calls be answered while callers still connect, and returns as soon as no work is outstanding, at the
+/// latest as the schedule says.
 async fn shut_down(
     inputs: mpsc::Sender<Input>,
     clock: Clock,
     status: watch::Receiver<Status>,
-    pending_work: SharedCount,
+    outstanding: SharedCount,
     schedule: ShutdownSchedule,
 ) {
     tracing::info!("ending");
@@ -300,12 +300,12 @@
     while Instant::now() < end && (idle_since.elapsed() < MIN_IDLE_TIME || idle_checks < MIN_IDLE_CHECKS) {
         sleep(IDLE_CHECK_INTERVAL).await;
         idle_checks += 1;
-        if status.borrow().unanswered > 0 || pending_work.count() > 0 {
+        if status.borrow().unanswered > 0 || outstanding.count() > 0 {
             (idle_since, idle_checks) = (Instant::now(), 0);
         }
     }
     let unanswered = status.borrow().unanswered;
-    tracing::info!(unanswered, outstanding = pending_work.count(), "ended");
+    tracing::info!(unanswered, outstanding = outstanding.count(), "ended");
 }
 
 #[cfg(test)]
--- a/src/net/binary.rs
+++ b/src/net/binary.rs
@@ -22,13 +22,13 @@
     /// Refuses a set-up, gives it up, or releases a call that stands.
     pub const RELEASE: u8 = 12;
     /// Acknowledges a release.
-    pub const RELEASE_HEARD: u8 = 16;
+    pub const RELEASE_ACK: u8 = 16;
     /// Reports the state of a hub.
     pub const STATE: u8 = 43;
     /// Asks whether the hub is alive; concerns no call.
     pub const TEST: u8 = 52;
     /// Result of a test.
-    pub const TESTED: u8 = 53;
+    pub const TEST_RESULT: u8 = 53;
 }
 
 /// Parameter codes.
--- a/src/net/change_log_poller.rs
+++ b/src/net/change_log_poller.rs
@@ -70,9 +70,9 @@
     }
 }
 
-/// Converts the events after `seq` to inputs for the core and advances `seq`. They count as announced from `told` at
-/// the earliest.
-pub fn core_inputs(changes: Changes, seq: &mut u64, told: Micros) -> Vec<Input> {
+/// Converts the events after `seq` to inputs for the core and advances `seq`. They count as announced from
+/// `effective_since` at the earliest.
+pub fn core_inputs(changes: Changes, seq: &mut u64, effective_since: Micros) -> Vec<Input> {
     let mut inputs = Vec::new();
     for event in changes.events {
         // A repeated response must not return a hub to an earlier state.
@@ -88,7 +88,7 @@
             born: t.born,
         });
         let (all, hubs, seq) = (event.all, hubs.collect(), event.seq);
-        inputs.push(Input::HubList(HubListUpdate { full: all, hubs, effective_since: told, seq }));
+        inputs.push(Input::HubList(HubListUpdate { full: all, hubs, effective_since, seq }));
     }
     *seq = changes.seq.max(*seq);
     inputs
@@ -135,8 +135,8 @@
                 // A change log that closes the connection after each response has not failed: retry delays
                 // would only add gaps during which its events go unnoticed.
                 (failures, kept_alive) = (0, connection);
-                let told = earliest_publication.poll_succeeded(requested_at, began_at);
-                let mut inputs = core_inputs(changes, &mut seq, told);
+                let effective_since = earliest_publication.poll_succeeded(requested_at, began_at);
+                let mut inputs = core_inputs(changes, &mut seq, effective_since);
                 if hold.is_zero() {
                     hold = LONG_POLL_TIMEOUT;
                     inputs.push(Input::ChangeLogCurrent);
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -90,7 +90,7 @@
     /// Calls that stand, each with the id of the connection it was set up on.
     standing_calls: HashMap<CallName, u64>,
     /// No set-up may begin from this time on; set while the hub drains.
-    not_after: Option<Micros>,
+    set_up_cutoff: Option<Micros>,
     next_dial: Option<Instant>,
     liveness: Liveness,
     backoff: Duration,
@@ -104,7 +104,7 @@
     latest_answered_start: Option<Instant>,
     /// Events for the core, sent at the end of each pass of the loop.
     events: Vec<FromHub>,
-    connection_budget: connection_limit::LinkHandle,
+    connection_limit: connection_limit::LinkHandle,
     /// Number of give-ups and releases that are not written yet; the program waits for them before it exits.
     unsent_ends: CountShare,
 }
@@ -115,7 +115,7 @@
     id: LinkId,
     endpoint: &str,
     limits: Limits,
-    connection_budget: &Arc<ConnectionLimit>,
+    connection_limit: &Arc<ConnectionLimit>,
     outstanding: &SharedCount,
     clock: Clock,
     core: mpsc::Sender<Input>,
@@ -131,7 +131,7 @@
         waiting_set_ups: VecDeque::new(),
         parked_releases: VecDeque::new(),
         standing_calls: HashMap::new(),
-        not_after: None,
+        set_up_cutoff: None,
         next_dial: Some(Instant::now()),
         liveness: Liveness::new(Instant::now()),
         backoff: MIN_DIAL_BACKOFF,
@@ -140,7 +140,7 @@
         resets_in_a_row: 0,
         latest_answered_start: None,
         events: Vec::new(),
-        connection_budget: connection_budget.register_link(),
+        connection_limit: connection_limit.register_link(),
         unsent_ends: outstanding.share(),
     };
     tokio::spawn(link.run(commands, core));
@@ -194,8 +194,8 @@
 
     /// Whether a set-up is queued on a connection and may begin at the next write.
     fn has_queued_set_up(&self) -> bool {
-        let set_up = |out: &Outgoing| matches!(out, Outgoing::SetUp(_));
-        self.connections.iter().any(|c| c.queue.iter().any(set_up))
+        let is_set_up = |outgoing: &Outgoing| matches!(outgoing, Outgoing::SetUp(_));
+        self.connections.iter().any(|c| c.queue.iter().any(is_set_up))
     }
 
     /// Handles all queued commands; returns whether the link is closed. Handling them before the next write prevents
@@ -235,7 +235,7 @@
                     }
                 }
             }
-            ToHub::SetUpCutoff(at) => self.not_after = at,
+            ToHub::SetUpCutoff(at) => self.set_up_cutoff = at,
             // Calls between different protocols carry no media.
             ToHub::Media(..) | ToHub::Close => {}
         }
@@ -271,7 +271,7 @@
         let needed = !self.waiting_set_ups.is_empty()
             || !self.parked_releases.is_empty()
             || !self.standing_calls.is_empty();
-        self.connection_budget.allowance(TARGET_CONNECTIONS).max(usize::from(needed))
+        self.connection_limit.allowance(TARGET_CONNECTIONS).max(usize::from(needed))
     }
 
     /// Starts a dial unless one is running or the maximum of connections is open.
@@ -285,7 +285,7 @@
             let (address, limit) = (self.address, self.limits.dial_timeout);
             let silent = self.is_quiet_with_calls(Instant::now());
             let permit = self
-                .connection_budget
+                .connection_limit
                 .acquire(!self.waiting_set_ups.is_empty() || !self.parked_releases.is_empty() || silent);
             self.dials.spawn(async move {
                 let address = address.ok_or(io::ErrorKind::InvalidInput)?;
@@ -396,7 +396,7 @@
         for connection in std::mem::take(&mut self.connections) {
             let open = connection.open_set_ups.len();
             tracing::debug!(link = self.id.0, connection = connection.id, open, "connection closed");
-            never_begun.extend(self.settle(connection).into_iter().filter_map(|out| match out {
+            never_begun.extend(self.settle(connection).into_iter().filter_map(|outgoing| match outgoing {
                 Outgoing::SetUp(set_up) => Some(set_up),
                 _ => None,
             }));
@@ -424,7 +424,7 @@
     /// Checks that the hub is alive by dialling it, if necessary in place of a connection that is silent and idle. If
     /// all connections are open and none is idle, each has a set-up that waits for an answer, which serves as the probe.
     fn probe(&mut self, now: Instant) {
-        if self.connections.len() >= MAX_CONNECTIONS || self.connection_budget.is_exhausted() {
+        if self.connections.len() >= MAX_CONNECTIONS || self.connection_limit.is_exhausted() {
             self.close_silent(now, 1);
         }
         if self.connections.len() >= MAX_CONNECTIONS {
@@ -445,7 +445,7 @@
         if self.limits.may_probe {
             self.connections.iter_mut().for_each(|c| c.queue.push_back(Outgoing::Test));
         }
-        if self.limits.may_probe || refused && self.not_after.is_none() {
+        if self.limits.may_probe || refused && self.set_up_cutoff.is_none() {
             self.liveness.record_probe(now);
         }
     }
@@ -524,7 +524,7 @@
         }
         let excess = self.connections.len().saturating_sub(self.target_connections());
         // With more hubs than file descriptors, an idle connection here takes the place of one needed elsewhere.
-        let idle_limit = match (self.connection_budget.has_waiters(), self.connection_budget.is_exhausted()) {
+        let idle_limit = match (self.connection_limit.has_waiters(), self.connection_limit.is_exhausted()) {
             (true, _) => Duration::ZERO,
             (false, true) => SCARCE_IDLE_TIMEOUT,
             (false, false) => IDLE_TIMEOUT,
@@ -582,9 +582,9 @@
                         self.release_on_other_connection(&message);
                     } else if !self.is_stale(&message, index) {
                         let Some(connection) = self.connections.get_mut(index) else { return false };
-                        let begun =
+                        let answered_start =
                             handle_message(&message, connection, &mut self.standing_calls, &mut self.events);
-                        self.latest_answered_start = self.latest_answered_start.max(begun);
+                        self.latest_answered_start = self.latest_answered_start.max(answered_start);
                         connection.suspect_since = None;
                     }
                     input.consume(bytes);
@@ -617,10 +617,10 @@
         let call = CallName(message.call);
         tracing::debug!(%call, "release for a set-up on another connection");
         self.events.push(FromHub::ReleasedUnanswered(call, Cause::NORMAL, message.report()));
-        let begun =
-            self.connections.iter().find_map(|c| c.open_set_ups.get(&call)).map(|begun| begun.attempt);
+        let open =
+            self.connections.iter().find_map(|c| c.open_set_ups.get(&call)).map(|set_up| set_up.attempt);
         let queued = || self.queued_set_ups().find(|set_up| set_up.call == call).map(|set_up| set_up.attempt);
-        if let Some(attempt) = begun.or_else(queued) {
+        if let Some(attempt) = open.or_else(queued) {
             self.give_up(call, attempt);
         }
     }
@@ -628,7 +628,7 @@
     /// Set-ups of which no byte has been written.
     fn queued_set_ups(&self) -> impl Iterator<Item = &SetUp> {
         let queued = self.connections.iter().flat_map(|connection| &connection.queue);
-        let set_ups = queued.filter_map(|out| match out {
+        let set_ups = queued.filter_map(|outgoing| match outgoing {
             Outgoing::SetUp(set_up) => Some(set_up),
             _ => None,
         });
@@ -642,10 +642,10 @@
     fn is_stale(&self, message: &Message, index: usize) -> bool {
         let call = CallName(message.call);
         let open_here = self.connections.get(index).is_some_and(|c| c.open_set_ups.contains_key(&call));
-        let out = |out: &Outgoing| matches!(out, Outgoing::SetUp(s) if s.call == call);
+        let is_for_call = |outgoing: &Outgoing| matches!(outgoing, Outgoing::SetUp(s) if s.call == call);
         let has_later_attempt = |c: &Connection| {
             c.open_set_ups.contains_key(&call)
-                || c.queue.iter().chain(c.staged.iter().map(|(_, o)| o)).any(out)
+                || c.queue.iter().chain(c.staged.iter().map(|(_, outgoing)| outgoing)).any(is_for_call)
         };
         matches!(message.kind, kind::ANSWER | kind::RELEASE)
             && !open_here
@@ -669,12 +669,12 @@
         self.resets_in_a_row += u32::from(connection.last_heard == connection.opened_at);
         let unwritten = self.settle(connection);
         self.redial();
-        for out in unwritten {
-            match out {
+        for outgoing in unwritten {
+            match outgoing {
                 Outgoing::SetUp(set_up) => self.handle_command(ToHub::SetUp(set_up)),
                 Outgoing::Release(call, cause) => self.handle_command(ToHub::Release(call, cause)),
                 // The set-up of a give-up was broken with this connection.
-                Outgoing::GiveUp(..) | Outgoing::ReleaseHeard(_) | Outgoing::Test => {}
+                Outgoing::GiveUp(..) | Outgoing::ReleaseAck(_) | Outgoing::Test => {}
             }
         }
     }
@@ -689,9 +689,9 @@
         let begun_attempts: Vec<u64> = begun.iter().map(|(_, set_up)| set_up.attempt).collect();
         self.events
             .extend(begun.into_iter().map(|(call, set_up)| FromHub::ConnectionLost(call, set_up.attempt)));
-        let unwritten = staged.into_iter().map(|(_, out)| out).chain(queue);
+        let unwritten = staged.into_iter().map(|(_, outgoing)| outgoing).chain(queue);
         unwritten
-            .filter(|out| !matches!(out, Outgoing::SetUp(s) if begun_attempts.contains(&s.attempt)))
+            .filter(|outgoing| !matches!(outgoing, Outgoing::SetUp(s) if begun_attempts.contains(&s.attempt)))
             .collect()
     }
 
@@ -701,7 +701,7 @@
         // In reverse order, as a connection that breaks is removed from the list.
         for index in (0..self.connections.len()).rev() {
             let Some(connection) = self.connections.get_mut(index) else { continue };
-            if connection.write(now, self.not_after, &mut self.events).is_err() {
+            if connection.write(now, self.set_up_cutoff, &mut self.events).is_err() {
                 // Messages that the hub sent before it closed the connection can still be read.
                 self.read_available(index);
                 self.connection_lost(index);
@@ -719,11 +719,11 @@
 /// begins after the last one although a departure may still be unread.
 async fn yield_for_departures() {
     for _ in 0..=MAX_YIELD_RETRIES {
-        let begun = Instant::now();
+        let start = Instant::now();
         for _ in 0..YIELDS_BEFORE_SET_UP {
             tokio::task::yield_now().await;
         }
-        if begun.elapsed() <= MAX_YIELD_TIME {
+        if start.elapsed() <= MAX_YIELD_TIME {
             return;
         }
     }
--- a/src/net/hub/connection.rs
+++ b/src/net/hub/connection.rs
@@ -33,7 +33,7 @@
     SetUp(SetUp),
     GiveUp(CallName, u64),
     Release(CallName, Cause),
-    ReleaseHeard(CallName),
+    ReleaseAck(CallName),
     Test,
 }
 
@@ -107,8 +107,8 @@
 
     /// Number of give-ups and releases that are not written yet.
     pub(super) fn unsent_ends(&self) -> usize {
-        let end = |out: &&Outgoing| matches!(out, Outgoing::GiveUp(..) | Outgoing::Release(..));
-        self.queue.iter().chain(self.staged.iter().map(|(_, out)| out)).filter(end).count()
+        let end = |outgoing: &&Outgoing| matches!(outgoing, Outgoing::GiveUp(..) | Outgoing::Release(..));
+        self.queue.iter().chain(self.staged.iter().map(|(_, outgoing)| outgoing)).filter(end).count()
     }
 
     /// Whether the connection has stopped delivering answers although it is open: a message has stayed incomplete, or a
@@ -125,13 +125,13 @@
     pub(super) fn write(
         &mut self,
         now: Micros,
-        not_after: Option<Micros>,
+        set_up_cutoff: Option<Micros>,
         events: &mut Vec<FromHub>,
     ) -> io::Result<()> {
         loop {
             while self.output.len() < MAX_WRITE_BYTES {
                 let Some(out) = self.queue.pop_front() else { break };
-                self.stage(out, now, not_after, events);
+                self.stage(out, now, set_up_cutoff, events);
             }
             if self.output.is_empty() {
                 return Ok(());
@@ -155,13 +155,13 @@
         &mut self,
         out: Outgoing,
         now: Micros,
-        not_after: Option<Micros>,
+        set_up_cutoff: Option<Micros>,
         events: &mut Vec<FromHub>,
     ) {
         let before = self.output.len();
         let encoded = match &out {
             Outgoing::SetUp(s) => {
-                if now >= s.until || not_after.is_some_and(|t| now >= t) {
+                if now >= s.until || set_up_cutoff.is_some_and(|t| now >= t) {
                     return events.push(FromHub::NotSent(s.call, s.attempt));
                 }
                 let wait = ((s.until - now).0 / 1000).max(1).to_string();
@@ -177,7 +177,7 @@
             }
             Outgoing::GiveUp(call, _) => release(&mut self.output, *call, Cause::NORMAL),
             Outgoing::Release(call, cause) => release(&mut self.output, *call, *cause),
-            Outgoing::ReleaseHeard(call) => binary::write(&mut self.output, kind::RELEASE_HEARD, call.0, &[]),
+            Outgoing::ReleaseAck(call) => binary::write(&mut self.output, kind::RELEASE_ACK, call.0, &[]),
             Outgoing::Test => binary::write(&mut self.output, kind::TEST, NO_CALL, &[(code::CAUSE, &[0])]),
         };
         match (encoded, out) {
--- a/src/net/hub/messages.rs
+++ b/src/net/hub/messages.rs
@@ -12,7 +12,7 @@
 
 /// Length of a connection's queue from which on releases are no longer acknowledged. Sending releases costs a hub
 /// nothing, and one that never reads would make the queue grow without bound.
-const MAX_QUEUED_RELEASE_HEARD: usize = 256;
+const MAX_QUEUED_RELEASE_ACKS: usize = 256;
 
 /// Whether a release with this cause, received for an unanswered set-up, can end a call that stood at the hub. A hub
 /// sends cause 16 only after its answer, so the answer is still under way. It sends cause 41 after an answer or for a
@@ -61,14 +61,14 @@
                 true => FromHub::ReleasedUnanswered(call, cause, report),
                 false => FromHub::Released(call, cause, note, report),
             });
-            if connection.queue.len() < MAX_QUEUED_RELEASE_HEARD {
-                connection.queue.push_back(Outgoing::ReleaseHeard(call));
+            if connection.queue.len() < MAX_QUEUED_RELEASE_ACKS {
+                connection.queue.push_back(Outgoing::ReleaseAck(call));
             }
             // A hub refuses unusable set-ups at once, ahead of those in its queue. If a refusal counted as an
             // answer, set-ups that began earlier would seem overtaken, and sound connections would be closed.
             None
         }
-        kind::STATE | kind::TESTED => {
+        kind::STATE | kind::TEST_RESULT => {
             let report = message.report();
             if report != Report::default() {
                 events.push(FromHub::LoadReport(report));
--- a/src/net/shared_count.rs
+++ b/src/net/shared_count.rs
@@ -1,7 +1,7 @@
 //! A count that several tasks contribute to. A task's contribution is withdrawn when the task ends.
 //!
-//! The program ends once the count of pending work is zero: requests without an answer, answers not yet written, and
-//! releases and give-ups that no hub has been told yet. The SIP server also counts the bytes that its connections hold.
+//! A shutdown ends once the count of outstanding work is zero: requests without an answer, answers not yet written, and
+//! releases and give-ups not yet written to a hub. The SIP server also counts the bytes that its connections hold.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
--- a/src/net/sip_server/connection.rs
+++ b/src/net/sip_server/connection.rs
@@ -98,7 +98,7 @@
     /// Part of a flood was sent to the core, whose answers are awaited before more is read.
     sent_part: bool,
     /// This connection's share of the outstanding work, for which a shutdown waits.
-    outstanding: CountShare,
+    outstanding_share: CountShare,
 }
 
 /// Serves one connection until it closes, and then releases or withdraws the calls that it leaves behind.
@@ -125,7 +125,7 @@
         is_closing: false,
         pending: PendingInputs::new(&server.pending_bytes),
         sent_part: false,
-        outstanding: server.owed.share(),
+        outstanding_share: server.outstanding.share(),
     };
     let mode = connection.run(&stream, &mut commands).await;
     let lingers = matches!(mode, CloseMode::Lingering);
@@ -141,7 +141,7 @@
         unwritten_answers,
         releases,
         mut input,
-        mut outstanding,
+        mut outstanding_share,
         ..
     } = connection;
     let mut calls: Vec<CallName> = open_set_ups.into_keys().collect();
@@ -170,7 +170,7 @@
     }
     // Counts as outstanding work: if the process exited now, unread input would reset the connection, and the caller
     // might not have received the last response.
-    outstanding.set(usize::from(lingers));
+    outstanding_share.set(usize::from(lingers));
     if lingers {
         let _ = timeout(LINGER_TIMEOUT, drain_socket(stream, &mut input)).await;
         server.registry().lingering -= 1;
@@ -230,7 +230,7 @@
             }
             self.releases.on_written(Instant::now(), self.bytes_written);
             self.publish_state(has_open || has_partial, has_calls);
-            self.outstanding.set(self.outstanding_count());
+            self.outstanding_share.set(self.outstanding_count());
             if self.output.len() > MAX_OUTPUT_BYTES {
                 return CloseMode::Immediate;
             }
@@ -328,12 +328,12 @@
         let has_more = matches!(outcome, ReadOutcome::Data) && !is_drained && !self.is_closing;
         if has_more && self.pending.has_room() {
             self.pending.put(inputs);
-            self.outstanding.set(self.outstanding_count());
+            self.outstanding_share.set(self.outstanding_count());
             return outcome;
         }
         self.pending.clear();
         // Updated before the first await: the process may be about to exit and checks the outstanding work.
-        self.outstanding.set(self.outstanding_count());
+        self.outstanding_share.set(self.outstanding_count());
         for input in inputs {
             self.server.send_to_core(input).await;
         }
--- a/src/net/sip_server/mod.rs
+++ b/src/net/sip_server/mod.rs
@@ -30,7 +30,7 @@
     core: mpsc::Sender<Input>,
     status: watch::Receiver<Status>,
     registry: Mutex<ConnectionRegistry>,
-    owed: SharedCount,
+    outstanding: SharedCount,
     /// Bytes that connections have read and not yet sent to the core.
     pending_bytes: SharedCount,
     max_connections: usize,
@@ -65,26 +65,35 @@
     /// The core's current status.
     pub status: watch::Receiver<Status>,
     /// Counter of outstanding work, to which the server adds its own.
-    pub owed: SharedCount,
+    pub outstanding: SharedCount,
 }
 
 /// Serves callers until the task is cancelled; returns early only if the listener has no local address.
 pub async fn run(
     config: Config,
     listener: TcpListener,
-    mut answers: mpsc::Receiver<ToFront>,
+    mut messages: mpsc::Receiver<ToFront>,
 ) -> io::Result<()> {
     let listen = listener.local_addr()?;
-    let Config { id, sockets, clock, core, status, owed } = config;
+    let Config { id, sockets, clock, core, status, outstanding } = config;
     // Callers are expected to use a third of the descriptors. Up to half are allowed as long as the rest is unused.
     let max_connections = sockets / 2;
     let registry = Mutex::default();
     let pending_bytes = SharedCount::default();
-    let server =
-        Arc::new(Server { id, listen, clock, core, status, registry, owed, pending_bytes, max_connections });
+    let server = Arc::new(Server {
+        id,
+        listen,
+        clock,
+        core,
+        status,
+        registry,
+        outstanding,
+        pending_bytes,
+        max_connections,
+    });
     let router = server.clone();
     tokio::spawn(async move {
-        while let Some(message) = answers.recv().await {
+        while let Some(message) = messages.recv().await {
             let undelivered = router.registry().route(message);
             // The caller's connection closed before its answer arrived, so the call is hung up at the hub.
             if let Some(ToFront::Answer(_, call, _)) = undelivered {
--- a/src/net/sip_server/registry/tests.rs
+++ b/src/net/sip_server/registry/tests.rs
@@ -111,13 +111,13 @@
     let (mut registry, mut receivers) = registry(4);
     registry.entry(1).expect("open").has_calls = true;
     registry.entry(2).expect("open").is_busy = true;
-    let asked = |receivers: &mut Vec<mpsc::Receiver<Command>>| -> Vec<bool> {
+    let asked_to_close = |receivers: &mut Vec<mpsc::Receiver<Command>>| -> Vec<bool> {
         receivers.iter_mut().map(|c| matches!(c.try_recv(), Ok(Command::CloseIdle))).collect()
     };
     registry.close_idle(2);
-    assert_eq!(asked(&mut receivers), [false, false, true, true]);
+    assert_eq!(asked_to_close(&mut receivers), [false, false, true, true]);
     registry.close_idle(2);
-    assert_eq!(asked(&mut receivers), [true, false, false, false]);
+    assert_eq!(asked_to_close(&mut receivers), [true, false, false, false]);
     registry.close_idle(2);
-    assert_eq!(asked(&mut receivers), [false; 4]);
+    assert_eq!(asked_to_close(&mut receivers), [false; 4]);
 }
--- a/tests/change_log_poller.rs
+++ b/tests/change_log_poller.rs
@@ -73,11 +73,14 @@
     assert!(core.try_recv().is_err());
     complete.write_all(response.as_bytes()).await.expect("written");
     let input = timeout(TEST_TIMEOUT, core.recv()).await.expect("an input in time");
-    let Some(Input::HubList(HubListUpdate { full: false, hubs, effective_since: told, .. })) = input else {
+    let Some(Input::HubList(HubListUpdate { full: false, hubs, effective_since, .. })) = input else {
         panic!("{input:?}")
     };
     assert_eq!(hubs.len(), 1);
-    assert!(told <= first_poll_at, "the event may have been published before the first failed poll");
+    assert!(
+        effective_since <= first_poll_at,
+        "the event may have been published before the first failed poll"
+    );
     assert!(matches!(timeout(TEST_TIMEOUT, core.recv()).await, Ok(Some(Input::ChangeLogCurrent))));
     drop(complete);
     assert_eq!(accept_poll(&listener).await.1, 2);
@@ -103,8 +106,6 @@
     let held_response = response(&format!(r#"{{"seq":2,"results":[{event}]}}"#));
     stream.write_all(held_response.as_bytes()).await.expect("written");
     let input = timeout(TEST_TIMEOUT, core.recv()).await.expect("an input in time");
-    let Some(Input::HubList(HubListUpdate { effective_since: told, .. })) = input else {
-        panic!("{input:?}")
-    };
-    assert!(told >= held_until, "a response that was held back contains only new events");
+    let Some(Input::HubList(HubListUpdate { effective_since, .. })) = input else { panic!("{input:?}") };
+    assert!(effective_since >= held_until, "a response that was held back contains only new events");
 }
--- a/tests/common/sip_test_server.rs
+++ b/tests/common/sip_test_server.rs
@@ -21,9 +21,9 @@
     /// Inputs that it sends to the core.
     pub inputs: mpsc::Receiver<Input>,
     /// Messages from the core to it.
-    pub answers: mpsc::Sender<ToFront>,
+    pub messages: mpsc::Sender<ToFront>,
     /// Its outstanding work.
-    pub owed: SharedCount,
+    pub outstanding: SharedCount,
     _status: watch::Sender<Status>,
 }
 
@@ -41,13 +41,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let (core, inputs) = mpsc::channel(INPUT_QUEUE_CAPACITY);
-        let (answers, to_front) = mpsc::channel(FRONT_QUEUE_CAPACITY);
+        let (messages, to_front) = mpsc::channel(FRONT_QUEUE_CAPACITY);
         let (sender, status) = watch::channel(Status { ready: true, ..Status::default() });
-        let owed = SharedCount::default();
+        let outstanding = SharedCount::default();
         let (id, sockets, clock) = (FrontId(0), 1024, Clock::system());
-        let config = sip_server::Config { id, sockets, clock, core, status, owed: owed.clone() };
+        let config =
+            sip_server::Config { id, sockets, clock, core, status, outstanding: outstanding.clone() };
         tokio::spawn(sip_server::run(config, listener, to_front));
-        TestServer { address, inputs, answers, owed, _status: sender }
+        TestServer { address, inputs, messages, outstanding, _status: sender }
     }
 
     /// Connects a caller. Unless `is_partial`, it sends a whole OPTIONS and waits for the response, which shows that the
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -109,9 +109,9 @@
         self.input(Input::Withdrawn(FrontId(0), Origin(5), CallName(call)));
     }
 
-    fn hub_event(&mut self, link: usize, from: FromHub) {
+    fn hub_event(&mut self, link: usize, event: FromHub) {
         let link = self.links.lock().expect("lock")[link].link;
-        self.input(Input::Hub(link, from));
+        self.input(Input::Hub(link, event));
     }
 
     fn released(&mut self, link: usize, call: u64, cause: u8, note: RefusalNote) {
@@ -364,10 +364,10 @@
     );
 }
 
-/// For each way in which an attempt can end and each effect: whether and when the call is tried again, and
+/// For each way in which an attempt can end and each idempotency: whether and when the call is tried again, and
 /// how it is answered if not.
 #[test]
-fn each_attempt_end_is_repeated_or_answered_as_the_effect_of_its_class_allows() {
+fn each_attempt_end_is_repeated_or_answered_as_the_idempotency_of_its_class_allows() {
     let released = |cause, note| FromHub::Released(CallName(1), Cause(cause), note, Report::default());
     let attempt = 1;
     let given_up = |began| FromHub::GivenUp { attempt, call: CallName(1), began };
@@ -383,10 +383,10 @@
         (FromHub::ConnectionLost(CallName(1), attempt), true, true),
         (given_up(true), true, true),
     ];
-    for effect in [Idempotency::Free, Idempotency::Guarded, Idempotency::SingleShot] {
+    for idempotency in [Idempotency::Free, Idempotency::Guarded, Idempotency::SingleShot] {
         for (end, may_have_run, pause) in &ends {
-            let case = format!("{effect:?}, {end:?}");
-            let mut harness = Harness::with(|config| config.settings.classes[0].idempotency = effect);
+            let case = format!("{idempotency:?}, {end:?}");
+            let mut harness = Harness::with(|config| config.settings.classes[0].idempotency = idempotency);
             harness.offer(1, 0);
             assert_eq!(harness.next_set_up(0), Some(attempt), "{case}");
             harness.hub_event(0, end.clone());
@@ -394,7 +394,7 @@
             let immediately = harness.next_set_up(0).or(harness.next_set_up(1)).is_some();
             harness.advance(20_000);
             let later = harness.next_set_up(0).or(harness.next_set_up(1)).is_some();
-            let repeated = effect == Idempotency::Free || !may_have_run;
+            let repeated = idempotency == Idempotency::Free || !may_have_run;
             assert_eq!((immediately, later), (repeated && !pause, repeated && *pause), "{case}");
             if !repeated {
                 assert!(matches!(harness.next_message(), Some(ToFront::Fail(..))), "{case}: it may have run");
@@ -404,11 +404,11 @@
         // Void, or expired before its first byte: nothing ran, so the call may be refused.
         for end in [released(102, RefusalNote::None), FromHub::NotSent(CallName(1), attempt)] {
             let late = matches!(end, FromHub::NotSent(..));
-            let mut harness = Harness::with(|config| config.settings.classes[0].idempotency = effect);
+            let mut harness = Harness::with(|config| config.settings.classes[0].idempotency = idempotency);
             harness.offer(1, 0);
             harness.now += if late { 3 * SECOND } else { 0 };
             harness.hub_event(0, end);
-            assert!(matches!(harness.next_message(), Some(ToFront::Refuse(..))), "{effect:?}");
+            assert!(matches!(harness.next_message(), Some(ToFront::Refuse(..))), "{idempotency:?}");
         }
     }
 }
@@ -570,13 +570,13 @@
 
 fn learned_hub(uid: &str, endpoint: &str, place: i64) -> LearnedHub {
     let hub = Identity { uid: uid.into(), endpoint: endpoint.into(), place, born: None };
-    let belief = ServerEstimate {
+    let estimate = ServerEstimate {
         heard: Micros(START - SECOND),
         pass: 0.1,
         carries: 3.0,
         ..ServerEstimate::default()
     };
-    LearnedHub { hub, belief }
+    LearnedHub { hub, estimate }
 }
 
 #[test]
@@ -609,15 +609,15 @@
         learned_hub("late", "10.0.0.3:1", 2),
     ];
     let state = LearnedState { at: Micros(START - SECOND), hold: 5.0, hubs };
-    let memory = RestoredState::new(state, DecaySettings::default(), Micros(START)).0;
-    let (mut harness, latest) = exporting(Some(memory));
+    let restored = RestoredState::new(state, DecaySettings::default(), Micros(START)).0;
+    let (mut harness, latest) = exporting(Some(restored));
     // Hub b has another address than before, so it is another machine.
     harness
         .input(list(true, vec![hub("a", "10.0.0.1:1", 0, Phase::Up), hub("b", "10.0.0.2:1", 1, Phase::Up)]));
     harness.input(Input::ExportState);
     let exported = |latest: &watch::Receiver<Option<Arc<LearnedState>>>, uid: &str| {
         let state = latest.borrow().clone().expect("exported");
-        state.hubs.iter().find(|k| &*k.hub.uid == uid).map(|k| (k.belief.pass, k.belief.heard))
+        state.hubs.iter().find(|h| &*h.hub.uid == uid).map(|h| (h.estimate.pass, h.estimate.heard))
     };
     assert_eq!(latest.borrow().as_ref().expect("exported").hold, 5.0);
     let (pass, heard) = exported(&latest, "a").expect("exported");
@@ -659,10 +659,10 @@
 
 #[test]
 fn a_call_that_may_have_run_is_neither_refused_nor_repeated_unless_its_class_allows() {
-    for (effect, refused) in
+    for (idempotency, refused) in
         [(Idempotency::Free, true), (Idempotency::Guarded, false), (Idempotency::SingleShot, false)]
     {
-        let mut harness = Harness::with(|config| config.settings.classes[0].idempotency = effect);
+        let mut harness = Harness::with(|config| config.settings.classes[0].idempotency = idempotency);
         for call in [1, 2] {
             harness.offer(call, 0);
         }
@@ -676,7 +676,7 @@
         while let Some(message) = harness.next_message() {
             refusals.push(matches!(message, ToFront::Refuse(..)));
         }
-        assert_eq!(refusals, [refused, refused], "{effect:?}");
+        assert_eq!(refusals, [refused, refused], "{idempotency:?}");
         assert!(
             matches!(harness.next_command(0), Some(ToHub::GiveUp(CallName(1), 1))),
             "and the open attempt is given up"
@@ -686,7 +686,7 @@
 
 #[test]
 fn a_call_without_a_deadline_gets_that_of_its_class_and_long_deadlines_are_capped() {
-    for (asked, class_ms, waits_ms) in [
+    for (requested_ms, class_ms, waits_ms) in [
         (None, 900, 900),
         (Some(1_500), 900, 1_500),
         (Some(500_000), 900, 60_000),
@@ -704,7 +704,7 @@
             class: "voice".into(),
             number: "7f3a".into(),
             place: 0,
-            deadline: asked.map(|ms| Micros(now + ms * 1000)),
+            deadline: requested_ms.map(|ms| Micros(now + ms * 1000)),
             repeat: false,
             returned: false,
             description: Description::default(),
@@ -712,7 +712,7 @@
         let Some(ToHub::SetUp(set_up)) = harness.next_command(0) else { panic!("no set-up was sent") };
         let until = set_up.until.0;
         let end = now + waits_ms * 1000;
-        assert!((end - 100_000..=end).contains(&until), "{asked:?} {class_ms}: {}", until - now);
+        assert!((end - 100_000..=end).contains(&until), "{requested_ms:?} {class_ms}: {}", until - now);
     }
 }
 
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -19,8 +19,8 @@
 const SECOND: u64 = 1_000_000;
 
 impl Fixture {
-    fn with(set: Settings, servers: u64) -> Fixture {
-        let controller = Controller::new(set, 11, Micros(0)).expect("valid settings");
+    fn with(settings: Settings, servers: u64) -> Fixture {
+        let controller = Controller::new(settings, 11, Micros(0)).expect("valid settings");
         let mut fixture = Fixture { controller, now: 10 * SECOND, last_id: 0 };
         let entries = (0..servers).map(|s| entry(s, Phase::Up, 0)).collect();
         fixture.handle(Event::List(ListKind::Saved, entries));
@@ -350,9 +350,9 @@
 
 #[test]
 fn single_shot_calls_are_not_sent_twice() {
-    let mut set = settings();
-    set.classes.iter_mut().for_each(|c| c.idempotency = Idempotency::SingleShot);
-    let mut fixture = Fixture::with(set, 2);
+    let mut settings = settings();
+    settings.classes.iter_mut().for_each(|c| c.idempotency = Idempotency::SingleShot);
+    let mut fixture = Fixture::with(settings, 2);
     fixture.dial(0);
     fixture.end(1, 0, Outcome::TimedOut);
     fixture.now += SECOND;
@@ -701,7 +701,7 @@
 
 #[test]
 fn invalid_settings_are_refused() {
-    let refused = |set: Settings| Controller::new(set, 1, Micros(0)).err();
+    let refused = |settings: Settings| Controller::new(settings, 1, Micros(0)).err();
     assert_eq!(refused(Settings { classes: vec![], ..settings() }), Some(SettingsError::NoClasses));
     assert_eq!(refused(Settings { balancers: 0, ..settings() }), Some(SettingsError::Zero("balancers")));
     for bad in [-0.1, 1.1, f64::NAN] {
--- a/tests/learning.rs
+++ b/tests/learning.rs
@@ -15,7 +15,7 @@
     Identity { uid: uid.into(), endpoint: "10.0.0.1:1".into(), place: 2, born: None }
 }
 
-fn belief() -> ServerEstimate {
+fn estimate() -> ServerEstimate {
     ServerEstimate {
         heard: SAVED_AT,
         carried: 25.0,
@@ -33,11 +33,11 @@
 }
 
 fn learned_state(uids: &[&str]) -> LearnedState {
-    let hubs = uids.iter().map(|uid| LearnedHub { hub: identity(uid), belief: belief() }).collect();
+    let hubs = uids.iter().map(|uid| LearnedHub { hub: identity(uid), estimate: estimate() }).collect();
     LearnedState { at: SAVED_AT, hold: 8.5, hubs }
 }
 
-/// Returns the belief restored for a hub this many microseconds after it was saved.
+/// Returns the estimate restored for a hub this many microseconds after it was saved.
 fn restored_after(age: u64) -> Option<ServerEstimate> {
     let now = SAVED_AT + Micros(age);
     RestoredState::new(learned_state(&["a"]), DecaySettings::default(), now).0.recall(&identity("a"), now)
@@ -46,7 +46,7 @@
 #[test]
 fn values_decay_with_age_and_are_dropped_past_the_maximum_age() {
     let fresh = restored_after(0).expect("restored");
-    assert_eq!(fresh, belief());
+    assert_eq!(fresh, estimate());
     let (mut wait, mut weight, mut pass) = (fresh.wait, fresh.weight, fresh.pass);
     for seconds in 1..900 {
         let b = restored_after(seconds * SECOND).expect("not too old");
@@ -83,7 +83,7 @@
     assert!(summary.too_old && summary.hubs == 0);
     // A single hub from the future in an otherwise valid state.
     let mut one = learned_state(&["a", "b"]);
-    one.hubs[0].belief.heard = SAVED_AT + Micros(60 * SECOND);
+    one.hubs[0].estimate.heard = SAVED_AT + Micros(60 * SECOND);
     let (mut restored, summary) = RestoredState::new(one, DecaySettings::default(), SAVED_AT);
     assert_eq!((summary.hubs, summary.dropped), (1, 1));
     assert!(
@@ -124,16 +124,16 @@
 #[test]
 fn hubs_with_implausible_values_and_hubs_beyond_the_limit_are_dropped() {
     let implausible: [fn(&mut LearnedHub); 10] = [
-        |k| k.belief.weight = 1.5,
-        |k| k.belief.pass = -0.1,
-        |k| k.belief.share = f64::NAN,
-        |k| k.belief.carried = f64::INFINITY,
-        |k| k.belief.carries = -1.0,
-        |k| k.belief.can_take = 1e9,
-        |k| k.belief.wait = Micros(u64::MAX),
-        |k| k.belief.delay = Micros(3_600 * SECOND),
-        |k| k.hub.uid = "x".repeat(300).into(),
-        |k| k.hub.endpoint = "x".repeat(300).into(),
+        |h| h.estimate.weight = 1.5,
+        |h| h.estimate.pass = -0.1,
+        |h| h.estimate.share = f64::NAN,
+        |h| h.estimate.carried = f64::INFINITY,
+        |h| h.estimate.carries = -1.0,
+        |h| h.estimate.can_take = 1e9,
+        |h| h.estimate.wait = Micros(u64::MAX),
+        |h| h.estimate.delay = Micros(3_600 * SECOND),
+        |h| h.hub.uid = "x".repeat(300).into(),
+        |h| h.hub.endpoint = "x".repeat(300).into(),
     ];
     for (nth, change) in implausible.into_iter().enumerate() {
         let mut changed = learned_state(&["a", "b", "b"]);
@@ -151,10 +151,10 @@
 
 #[test]
 fn an_encoded_state_decodes_to_the_same_state() {
-    let mut kept = learned_state(&["a", "b\"\\\u{e9}\n"]);
-    kept.hubs[1].hub.born = Some(Micros(7));
-    kept.hubs[1].belief = ServerEstimate { carried: 0.1 + 0.2, ..ServerEstimate::default() };
-    assert_eq!(decode(VERSION, &encode(&kept)), Ok(kept));
+    let mut learned = learned_state(&["a", "b\"\\\u{e9}\n"]);
+    learned.hubs[1].hub.born = Some(Micros(7));
+    learned.hubs[1].estimate = ServerEstimate { carried: 0.1 + 0.2, ..ServerEstimate::default() };
+    assert_eq!(decode(VERSION, &encode(&learned)), Ok(learned));
 }
 
 #[test]
@@ -163,10 +163,13 @@
     let (header, payload) = store::decode(bytes).expect("a valid snapshot");
     assert_eq!(header.version, 1);
     let read = decode(1, payload).expect("migrated");
-    let [kept] = &read.hubs[..] else { panic!("one hub: {read:?}") };
-    assert_eq!((&*kept.hub.uid, &*kept.hub.endpoint, kept.hub.born), ("toy-1", "127.0.0.1:5071", None));
-    assert_eq!((kept.belief.carries, kept.belief.can_take), (20.0, 0.0));
-    assert_eq!(kept.belief.heard, read.at, "the age of the hub is that of the file");
+    let [learned_hub] = &read.hubs[..] else { panic!("one hub: {read:?}") };
+    assert_eq!(
+        (&*learned_hub.hub.uid, &*learned_hub.hub.endpoint, learned_hub.hub.born),
+        ("toy-1", "127.0.0.1:5071", None)
+    );
+    assert_eq!((learned_hub.estimate.carries, learned_hub.estimate.can_take), (20.0, 0.0));
+    assert_eq!(learned_hub.estimate.heard, read.at, "the age of the hub is that of the file");
     assert_eq!((read.at, read.hold), (Micros(1_796_143_036_665_422), 9.406250000000002));
     let later = decode(VERSION + 1, payload).expect_err("unknown version");
     assert!(later.contains("later version"), "{later}");
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -74,7 +74,7 @@
 #[test]
 fn binary_parser_handles_truncated_and_random_input() {
     let mut plain = Vec::new();
-    assert!(binary::write(&mut plain, binary::kind::RELEASE_HEARD, u64::MAX, &[]));
+    assert!(binary::write(&mut plain, binary::kind::RELEASE_ACK, u64::MAX, &[]));
     fuzz_parser(&[release_with_report(), plain], true, |input| match binary::parse(input) {
         Ok(read) => Ok(read.map(|m| m.bytes)),
         Err(_) => Err(()),
--- a/tests/release_before_answer.rs
+++ b/tests/release_before_answer.rs
@@ -43,7 +43,7 @@
 /// The final responses and the BYEs that a caller received for a call.
 fn received_messages(caller: &mut Caller, call: u64) -> Vec<Received> {
     caller.receive();
-    let of_call = |said: &&Received| match said {
+    let of_call = |message: &&Received| match message {
         Received::Answer(c, status, ..) => *c == call && *status >= 200,
         Received::Bye(c, _) => *c == call,
         Received::Other(..) => false,
@@ -82,7 +82,7 @@
     hub.answer(&set_up);
     assert_eq!(answer_status(&mut caller, call), 200);
     hub.send(set_up.connection, kind::RELEASE, call, &[(code::CAUSE, &[16])]);
-    caller.wait_for("the BYE of a completed call", |said| *said == Received::Bye(call, 16));
+    caller.wait_for("the BYE of a completed call", |message| *message == Received::Bye(call, 16));
 }
 
 fn answer_after_release_is_ignored(idempotency: &'static str) {
@@ -216,7 +216,7 @@
             assert_eq!(received_messages(&mut caller, 0x30).len(), 1, "the call continues");
         }
         next(&mut first, &mut second, kind::RELEASE, &[(code::CAUSE, &[16])]);
-        caller.wait_for("the BYE", |said| *said == Received::Bye(0x30, 16));
+        caller.wait_for("the BYE", |message| *message == Received::Bye(0x30, 16));
         if matches!(answer_time, AnswerTime::AfterCall) {
             first.answer(&late);
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -25,7 +25,7 @@
 /// A simulated environment that feeds legal events to a controller and checks every action.
 struct Environment {
     controller: Controller,
-    set: Settings,
+    settings: Settings,
     now: u64,
     calls: BTreeMap<u64, ExpectedCall>,
     up: BTreeMap<u64, bool>,
@@ -34,10 +34,10 @@
 }
 
 impl Environment {
-    fn new(set: Settings, seed: u64) -> Environment {
-        let controller = Controller::new(set.clone(), seed, Micros(0)).expect("valid settings");
+    fn new(settings: Settings, seed: u64) -> Environment {
+        let controller = Controller::new(settings.clone(), seed, Micros(0)).expect("valid settings");
         let (calls, up) = (BTreeMap::new(), BTreeMap::new());
-        Environment { controller, set, now: 0, calls, up, timers: Vec::new(), next_id: 0 }
+        Environment { controller, settings, now: 0, calls, up, timers: Vec::new(), next_id: 0 }
     }
 
     fn handle(&mut self, event: Event) {
@@ -61,7 +61,7 @@
                     "rule 3: no send to a draining or removed server"
                 );
                 assert!(self.now >= call.retry_at, "rule 5: no send before the release");
-                assert!(call.attempts < self.set.max_attempts, "rule 2: no more attempts than allowed");
+                assert!(call.attempts < self.settings.max_attempts, "rule 2: no more attempts than allowed");
                 call.in_flight = Some((server.0, call.attempts));
                 call.attempts += 1;
             }
@@ -72,7 +72,7 @@
                 call.answered = true;
             }
             Action::Cancel(id, attempt) => {
-                assert!(self.set.may_cancel);
+                assert!(self.settings.may_cancel);
                 assert_eq!(
                     self.calls[&id.0].in_flight.map(|o| o.1),
                     Some(attempt),
@@ -81,10 +81,14 @@
             }
             Action::Timer(at, token) => self.timers.push((at.0, token)),
             Action::SendToPeer(peer, bytes) => {
-                assert!(self.set.may_message_peers && peer < self.set.balancers && peer != self.set.index);
+                assert!(
+                    self.settings.may_message_peers
+                        && peer < self.settings.balancers
+                        && peer != self.settings.index
+                );
                 assert!(bytes.len() <= 256);
             }
-            Action::Subscribe => assert!(self.set.must_subscribe),
+            Action::Subscribe => assert!(self.settings.must_subscribe),
         }
     }
 
@@ -100,7 +104,7 @@
         let (id, deadline) = (self.next_id, self.now + 3_000_000);
         self.next_id += 1;
         self.calls.insert(id, ExpectedCall { deadline, ..ExpectedCall::default() });
-        let class = (id % self.set.classes.len() as u64) as usize;
+        let class = (id % self.settings.classes.len() as u64) as usize;
         let request = NewCall {
             number: Some(number),
             returned,
@@ -121,7 +125,7 @@
         let awaits_release = matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::Withdrawn);
         let over = call.answered || call.established || outcome == Outcome::Success;
         if awaits_release {
-            call.retry_at = now + self.set.release.0;
+            call.retry_at = now + self.settings.release.0;
         }
         call.answered |= over;
         let (id, server) = (CallId(id), ServerId(server));
@@ -198,8 +202,8 @@
     ]
 }
 
-fn run_steps(set: &Settings, steps: &[Step], seed: u64) {
-    let mut environment = Environment::new(set.clone(), seed);
+fn run_steps(settings: &Settings, steps: &[Step], seed: u64) {
+    let mut environment = Environment::new(settings.clone(), seed);
     for server in 0..3 {
         environment.list(server, Phase::Up, 0);
     }
@@ -243,13 +247,13 @@
         Settings { cold_from: 0.0, must_subscribe: true, ..base.clone() },
         Settings { own_place: Some(0), ..base },
     ];
-    for set in variants {
+    for settings in variants {
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
         let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
         let steps = proptest::collection::vec(step(), 1..300);
         TestRunner::new_with_rng(config, rng)
             .run(&(steps, any::<u64>()), |(steps, seed)| {
-                run_steps(&set, &steps, seed);
+                run_steps(&settings, &steps, seed);
                 Ok(())
             })
             .expect("no rule is broken");
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -19,8 +19,9 @@
 
 impl Controllers {
     fn new(balancers: u32, hubs: u64) -> Controllers {
-        let set = Settings { balancers, ..settings() };
-        let new = |seed| Controller::new(set.clone(), u64::from(seed), Micros(0)).expect("valid settings");
+        let settings = Settings { balancers, ..settings() };
+        let new =
+            |seed| Controller::new(settings.clone(), u64::from(seed), Micros(0)).expect("valid settings");
         let mut controllers =
             Controllers { controllers: (0..balancers).map(new).collect(), now: 10 * SECOND, next: 0 };
         let entries = (0..hubs).map(|s| entry(s, None)).collect();
--- a/tests/silent_hubs.rs
+++ b/tests/silent_hubs.rs
@@ -207,7 +207,7 @@
         let tests: Vec<ReceivedMessage> =
             hub.received.iter().filter(|sent| sent.kind == kind::TEST).cloned().collect();
         for test in tests.iter().skip(answered) {
-            hub.send(test.connection, kind::TESTED, test.call, &[(code::CAUSE, &[1])]);
+            hub.send(test.connection, kind::TEST_RESULT, test.call, &[(code::CAUSE, &[1])]);
         }
         answered = tests.len();
         sleep(Duration::from_millis(5));
@@ -239,7 +239,7 @@
     hub.receive();
     let last = hub.connections.iter().rposition(|link| link.open).expect("a connection");
     hub.send(last, kind::RELEASE, STANDING_CALL, &[(code::CAUSE, &[16])]);
-    caller.wait_for("its end", |said| matches!(said, Received::Bye(STANDING_CALL, _)));
+    caller.wait_for("its end", |message| matches!(message, Received::Bye(STANDING_CALL, _)));
     assert!(
         caller.received.contains(&Received::Bye(STANDING_CALL, 16)),
         "released while it stood: {:?}",
--- a/tests/sip_server.rs
+++ b/tests/sip_server.rs
@@ -46,16 +46,16 @@
         callers.push((stream, server.next_offer().await));
     }
     let count_becomes = |count: usize| {
-        let owed = server.owed.clone();
+        let outstanding = server.outstanding.clone();
         async move {
-            while owed.count() != count {
+            while outstanding.count() != count {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         }
     };
     timeout(WAIT_TIMEOUT, count_becomes(3)).await.expect("three set-ups");
     let (stream, offer) = callers.pop().expect("three");
-    server.answers.send(ToFront::Refuse(offer.origin, offer.call, Micros(0))).await.expect("taken");
+    server.messages.send(ToFront::Refuse(offer.origin, offer.call, Micros(0))).await.expect("taken");
     timeout(WAIT_TIMEOUT, count_becomes(2)).await.expect("one is answered");
     let mut bytes = Vec::new();
     stream.set_nonblocking(false).expect("set");
@@ -75,16 +75,16 @@
     async fn answer_until_blocked(&mut self, mut stream: &TcpStream) -> u64 {
         let bytes = bytes::Bytes::from(vec![b'v'; LONG_DESCRIPTION_LENGTH]);
         let mut call = 0;
-        while self.owed.count() == 0 {
+        while self.outstanding.count() == 0 {
             call += 1;
             assert!(call < 5_000, "the socket buffers never fill up");
             stream.write_all(request("INVITE", call).as_bytes()).expect("room");
             let offer = self.next_offer().await;
             let description = Description { format: petreldock::net::SDP, bytes: bytes.clone() };
             let answer = ToFront::Answer(offer.origin, offer.call, description);
-            self.answers.send(answer).await.expect("taken");
+            self.messages.send(answer).await.expect("taken");
             let start = std::time::Instant::now();
-            while self.owed.count() > 0 && start.elapsed() < Duration::from_millis(100) {
+            while self.outstanding.count() > 0 && start.elapsed() < Duration::from_millis(100) {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         }
@@ -111,7 +111,7 @@
     let mut stream = server.connect_caller(false).await;
     let last = server.answer_until_blocked(&stream).await;
     let (mut read, mut bytes) = (Vec::new(), [0; 4096]);
-    while server.owed.count() > 0 || read.len() < last as usize * LONG_DESCRIPTION_LENGTH {
+    while server.outstanding.count() > 0 || read.len() < last as usize * LONG_DESCRIPTION_LENGTH {
         match stream.read(&mut bytes) {
             Ok(count) if count > 0 => read.extend_from_slice(&bytes[..count]),
             Ok(_) => panic!("closed with {} bytes read", read.len()),
@@ -133,12 +133,12 @@
     let (half, rest) = text.split_at(50);
     stream.write_all(half.as_bytes()).expect("written");
     let counted = async {
-        while server.owed.count() != 1 {
+        while server.outstanding.count() != 1 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
     timeout(WAIT_TIMEOUT, counted).await.expect("the partial request counts");
     stream.write_all(rest.as_bytes()).expect("written");
     assert_eq!(server.next_offer().await.call, CallName(1));
-    assert_eq!(server.owed.count(), 1, "the open set-up counts now");
+    assert_eq!(server.outstanding.count(), 1, "the open set-up counts now");
 }
--- a/tests/unresponsive_callers.rs
+++ b/tests/unresponsive_callers.rs
@@ -115,7 +115,7 @@
         let offer = self.next_offer().await;
         let description = Description { format: SDP, bytes: Bytes::from(vec![b'v'; length]) };
         let answer = ToFront::Answer(offer.origin, offer.call, description);
-        self.answers.send(answer).await.expect("taken");
+        self.messages.send(answer).await.expect("taken");
         offer.origin
     }
 
@@ -123,7 +123,7 @@
     async fn release(&mut self, origin: Origin, call: u64) -> Instant {
         let now = Instant::now();
         let release = ToFront::Release(Some(origin), CallName(call), CAUSE);
-        self.answers.send(release).await.expect("taken");
+        self.messages.send(release).await.expect("taken");
         now
     }
 
@@ -272,12 +272,12 @@
     let mut other = CallerConnection::connect(&server).await;
     let (mut call, mut origin) = (0, Origin(0));
     // Answers calls of a caller that reads nothing, until an answer remains partially written.
-    while server.owed.count() == 0 {
+    while server.outstanding.count() == 0 {
         call += 1;
         assert!(call < 5_000, "the socket buffers never fill up");
         origin = server.establish_call(&mut blocked, call, LONG_DESCRIPTION_LENGTH).await;
         let start = Instant::now();
-        while server.owed.count() > 0 && start.elapsed() < Duration::from_millis(100) {
+        while server.outstanding.count() > 0 && start.elapsed() < Duration::from_millis(100) {
             tokio::time::sleep(MILLISECOND).await;
         }
     }
@@ -422,6 +422,6 @@
     assert_eq!(other.answer(0).map(|a| a.0), Some(200));
     let released = Instant::now();
     hub.send(set_up.connection, kind::RELEASE, 0xa1, &[(code::CAUSE, &[16])]);
-    other.wait_for("the release on the other connection", |said| *said == Received::Bye(0xa1, 16));
+    other.wait_for("the release on the other connection", |message| *message == Received::Bye(0xa1, 16));
     assert_in_time(released, Instant::now());
 }
