--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -84,7 +84,7 @@
 #[derive(Clone)]
 struct Run {
     start: Instant,
-    log: ChangeLog,
+    change_log: ChangeLog,
     facts: Rc<RefCell<RunFacts>>,
     actions: Rc<RefCell<Vec<String>>>,
     record: HubRecord,
@@ -104,7 +104,7 @@
     /// Publishes the state of a hub in the change log.
     fn publish(&self, hub: &Hub, state: &str, boot_ms: u64) {
         self.log_action(format!("change log: {} {state}", hub.uid));
-        self.log.tell(false, &[target(&hub.uid, hub.address, hub.place, state, boot_ms)]);
+        self.change_log.tell(false, &[target(&hub.uid, hub.address, hub.place, state, boot_ms)]);
     }
 
     /// Records a fault of a hub that ends now.
@@ -115,7 +115,7 @@
 
     /// Returns the configuration for a controller that starts now.
     fn document(&self, site: &Site, controller: usize, address: SocketAddr) -> String {
-        let known = self.log.since(0);
+        let known = self.change_log.since(0);
         let (balancers, places, change_log) = (site.balancers, site.places, site.change_log);
         let starts = self.facts.borrow().process_ends.len() as u64;
         Site { balancers, places, change_log, known }.document(controller, address, starts)
@@ -364,10 +364,10 @@
 async fn suspend_change_log(run: Run, mut rng: StdRng) {
     sleep_until(run.start + random_duration(&mut rng, FAULT_START_MIN_S, FAULT_START_MAX_S)).await;
     run.log_action("the change log stops responding".into());
-    run.log.set_silent(true);
+    run.change_log.set_silent(true);
     let from = Instant::now();
     sleep(random_duration(&mut rng, 1.0, 4.0)).await;
-    run.log.set_silent(false);
+    run.change_log.set_silent(false);
     run.facts.borrow_mut().change_log_outages.push((from, Instant::now()));
     run.log_action("the change log responds again".into());
 }
@@ -391,8 +391,8 @@
 pub async fn run(plan: &Plan, seed: u64, folder: &Path) -> io::Result<Report> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut next_rng = || StdRng::seed_from_u64(rng.random());
-    let log = ChangeLog::default();
-    let change_log = log.start().await?;
+    let change_log = ChangeLog::default();
+    let change_log_address = change_log.start().await?;
     let record = HubRecord::default();
     let mut hubs = Vec::new();
     for number in 0..HUBS {
@@ -400,8 +400,13 @@
     }
     let targets: Vec<String> =
         hubs.iter().map(|h| target(&h.uid, h.address, h.place, "in_service", 0)).collect();
-    log.tell(true, &targets);
-    let site = Site { balancers: CONTROLLERS, places: HUBS, change_log, known: log.since(0) };
+    change_log.tell(true, &targets);
+    let site = Site {
+        balancers: CONTROLLERS,
+        places: HUBS,
+        change_log: change_log_address,
+        known: change_log.since(0),
+    };
     let mut controllers = Vec::new();
     for index in 0..CONTROLLERS {
         let mut controller = Controller::new(&plan.binary, folder, index)?;
@@ -411,7 +416,7 @@
     let site = Rc::new(site);
     let run = Run {
         start: Instant::now(),
-        log,
+        change_log,
         facts: Rc::default(),
         actions: Rc::default(),
         record,
--- a/src/config.rs
+++ b/src/config.rs
@@ -446,9 +446,9 @@
 ///
 /// # Errors
 /// The path of the first value that is not valid.
-pub fn read_changes(at: &JsonNode) -> ConfigResult<Changes> {
+pub fn read_changes(node: &JsonNode) -> ConfigResult<Changes> {
     let mut events = Vec::new();
-    for event in at.key("results").value_or(Vec::new(), JsonNode::list)? {
+    for event in node.key("results").value_or(Vec::new(), JsonNode::list)? {
         let fleet = event.key("fleet");
         if !fleet.is_present() {
             continue;
@@ -475,7 +475,7 @@
             targets,
         });
     }
-    Ok(Changes { seq: at.key("seq").micros()?.0, events })
+    Ok(Changes { seq: node.key("seq").micros()?.0, events })
 }
 
 /// Parses a JSON document. `what` names the document in the error, as the parser reports no position.
@@ -513,9 +513,9 @@
 
     /// Reads the platform's configuration file; `listen` overrides its key.
     pub fn read(root: &JsonNode, listen: Option<String>) -> ConfigResult<Config> {
-        let at = root.key("settings");
-        let (settings, names) = read_settings(&at)?;
-        let (limits, process_limits) = (at.key("limits"), root.key("limits"));
+        let settings_node = root.key("settings");
+        let (settings, names) = read_settings(&settings_node)?;
+        let (limits, process_limits) = (settings_node.key("limits"), root.key("limits"));
         let listen = match listen {
             Some(text) => text.parse().map_err(|_| ConfigError {
                 path: LISTEN_VARIABLE.into(),
@@ -534,7 +534,7 @@
             listen,
             seed,
             change_log: match root.key("changelog") {
-                at if at.is_present() => Some(at.address()?),
+                node if node.is_present() => Some(node.address()?),
                 _ => None,
             },
             known: root.key("known").value_or(Changes::default(), read_changes)?,
@@ -562,95 +562,95 @@
 }
 
 impl StateConfig {
-    fn read(at: &JsonNode) -> ConfigResult<StateConfig> {
-        let folder = at.key("folder").text().ok().filter(|f| !f.is_empty());
-        let (half_lives, default) = (at.key("halfLivesMs"), DecaySettings::default());
+    fn read(node: &JsonNode) -> ConfigResult<StateConfig> {
+        let folder = node.key("folder").text().ok().filter(|f| !f.is_empty());
+        let (half_lives, default) = (node.key("halfLivesMs"), DecaySettings::default());
         let half_life = |key: &str, default| bounded_millis(half_lives.key(key), default, (1, MAX_AGE_MS));
         Ok(StateConfig {
-            folder: folder.ok_or_else(|| at.key("folder").expected("a folder's path"))?.into(),
-            interval: bounded_millis(at.key("intervalMs"), DEFAULT_STATE_INTERVAL, (100, 600_000))?,
+            folder: folder.ok_or_else(|| node.key("folder").expected("a folder's path"))?.into(),
+            interval: bounded_millis(node.key("intervalMs"), DEFAULT_STATE_INTERVAL, (100, 600_000))?,
             decay: DecaySettings {
                 wait: half_life("wait", default.wait)?,
                 load: half_life("load", default.load)?,
                 rate: half_life("rate", default.rate)?,
                 signs: half_life("signs", default.signs)?,
                 capacity: half_life("capacity", default.capacity)?,
-                max_age: bounded_millis(at.key("greatestAgeMs"), default.max_age, (1, MAX_AGE_MS))?,
+                max_age: bounded_millis(node.key("greatestAgeMs"), default.max_age, (1, MAX_AGE_MS))?,
             },
         })
     }
 }
 
 /// Reads a duration in milliseconds that must lie between `min` and `max`.
-fn bounded_millis(at: JsonNode, default: Micros, (min, max): (u64, u64)) -> ConfigResult<Micros> {
-    let ms = at.value_or(Micros(default.0 / 1000), JsonNode::micros)?;
+fn bounded_millis(node: JsonNode, default: Micros, (min, max): (u64, u64)) -> ConfigResult<Micros> {
+    let ms = node.value_or(Micros(default.0 / 1000), JsonNode::micros)?;
     match (min..=max).contains(&ms.0) {
         true => Ok(Micros(ms.0 * 1000)),
-        false => Err(at.expected(&format!("{min} to {max} milliseconds"))),
+        false => Err(node.expected(&format!("{min} to {max} milliseconds"))),
     }
 }
 
 impl FleetConfig {
-    fn read(at: &JsonNode) -> ConfigResult<FleetConfig> {
-        let label = |at: JsonNode, min_length: usize| match at.text()? {
+    fn read(node: &JsonNode) -> ConfigResult<FleetConfig> {
+        let label = |node: JsonNode, min_length: usize| match node.text()? {
             text if (min_length..=MAX_LABEL_BYTES).contains(&text.len()) => Ok(text.to_string()),
-            _ => Err(at.expected(&format!("a name of {min_length} to {MAX_LABEL_BYTES} bytes"))),
+            _ => Err(node.expected(&format!("a name of {min_length} to {MAX_LABEL_BYTES} bytes"))),
         };
-        fn bounded_list<'a>(at: &JsonNode<'a>) -> ConfigResult<Vec<JsonNode<'a>>> {
-            match at.list()? {
+        fn bounded_list<'a>(node: &JsonNode<'a>) -> ConfigResult<Vec<JsonNode<'a>>> {
+            match node.list()? {
                 items if items.len() <= MAX_LIST_ENTRIES => Ok(items),
-                _ => Err(at.expected(&format!("{MAX_LIST_ENTRIES} entries at most"))),
+                _ => Err(node.expected(&format!("{MAX_LIST_ENTRIES} entries at most"))),
             }
         }
         let mut prefixes: Vec<IpNet> = Vec::new();
-        for item in bounded_list(&at.key("prefixes"))? {
+        for item in bounded_list(&node.key("prefixes"))? {
             let prefix = item.text()?.parse().map_err(|_| item.expected("a prefix, as in 10.0.0.0/8"))?;
             prefixes.push(prefix);
         }
         if prefixes.is_empty() {
-            return Err(at.key("prefixes").expected("at least one prefix, as in 10.0.0.0/8"));
+            return Err(node.key("prefixes").expected("at least one prefix, as in 10.0.0.0/8"));
         }
         // Members ignore addresses outside the prefixes, so a process with such an address would never be seen.
-        let allowed_address = |at: &JsonNode| match at.address()? {
+        let allowed_address = |node: &JsonNode| match node.address()? {
             address if prefixes.iter().any(|p| p.contains(&address.ip())) => Ok(address),
-            _ => Err(at.expected("an address under one of the prefixes")),
+            _ => Err(node.expected("an address under one of the prefixes")),
         };
-        let listen = at.key("listen").address()?;
-        let advertise = at.key("advertise").value_or(None, |a| allowed_address(a).map(Some))?;
+        let listen = node.key("listen").address()?;
+        let advertise = node.key("advertise").value_or(None, |node| allowed_address(node).map(Some))?;
         if advertise.is_none() {
-            allowed_address(&at.key("listen"))?;
+            allowed_address(&node.key("listen"))?;
         }
         if advertise.is_some_and(|a| a.port() == 0) {
-            return Err(at.key("advertise").expected("a port"));
+            return Err(node.key("advertise").expected("a port"));
         }
         let seeds =
-            bounded_list(&at.key("seeds"))?.iter().map(allowed_address).collect::<ConfigResult<_>>()?;
+            bounded_list(&node.key("seeds"))?.iter().map(allowed_address).collect::<ConfigResult<_>>()?;
         Ok(FleetConfig {
-            name: label(at.key("name"), 1)?,
+            name: label(node.key("name"), 1)?,
             listen,
             advertise,
             seeds,
-            zone: at.key("zone").value_or(String::new(), |a| label(a.clone(), 0))?,
+            zone: node.key("zone").value_or(String::new(), |node| label(node.clone(), 0))?,
             prefixes,
-            detection: bounded_millis(at.key("detectionMs"), DEFAULT_DETECTION_TIME, (500, 60_000))?,
+            detection: bounded_millis(node.key("detectionMs"), DEFAULT_DETECTION_TIME, (500, 60_000))?,
         })
     }
 }
 
 impl LogConfig {
-    fn read(at: &JsonNode) -> ConfigResult<LogConfig> {
+    fn read(node: &JsonNode) -> ConfigResult<LogConfig> {
         Ok(LogConfig {
-            level: match at.key("level").value_or("info", JsonNode::text)? {
+            level: match node.key("level").value_or("info", JsonNode::text)? {
                 "error" => LogLevel::Error,
                 "warn" => LogLevel::Warn,
                 "info" => LogLevel::Info,
                 "debug" => LogLevel::Debug,
-                _ => return Err(at.key("level").expected("error, warn, info or debug")),
+                _ => return Err(node.key("level").expected("error, warn, info or debug")),
             },
-            json: match at.key("form").value_or("text", JsonNode::text)? {
+            json: match node.key("form").value_or("text", JsonNode::text)? {
                 "text" => false,
                 "json" => true,
-                _ => return Err(at.key("form").expected("text or json")),
+                _ => return Err(node.key("form").expected("text or json")),
             },
         })
     }
@@ -660,8 +660,8 @@
     /// Reads the operator's file. `names` holds the classes that it may refer to.
     pub fn read(root: &JsonNode, names: &WireNames) -> ConfigResult<OperatorConfig> {
         let mut operator = OperatorConfig {
-            state: root.key("state").value_or(None, |at| StateConfig::read(at).map(Some))?,
-            fleet: root.key("fleet").value_or(None, |at| FleetConfig::read(at).map(Some))?,
+            state: root.key("state").value_or(None, |node| StateConfig::read(node).map(Some))?,
+            fleet: root.key("fleet").value_or(None, |node| FleetConfig::read(node).map(Some))?,
             log: LogConfig::read(&root.key("log"))?,
             ..OperatorConfig::default()
         };
@@ -669,7 +669,8 @@
         if !iax2.is_present() {
             return Ok(operator);
         }
-        let address = |at: JsonNode<'_>| if at.is_present() { at.address().map(Some) } else { Ok(None) };
+        let address =
+            |node: JsonNode<'_>| if node.is_present() { node.address().map(Some) } else { Ok(None) };
         operator.iax2_listen = address(iax2.key("listen"))?;
         operator.iax2_local = address(iax2.key("local"))?;
         for hub in iax2.key("hubs").value_or(Vec::new(), JsonNode::list)? {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1122,9 +1122,9 @@
         let (front, origin, name) = (call.front, call.origin, call.name);
         tracing::debug!(call = %name, refused = matches!(action, Action::Refuse(..)), "call ended without an answer");
         let message = match action {
-            Action::Refuse(_, away) => {
+            Action::Refuse(_, retry_after) => {
                 metrics::CALLS_REFUSED.increment();
-                ToFront::Refuse(origin, name, away)
+                ToFront::Refuse(origin, name, retry_after)
             }
             _ => {
                 metrics::CALLS_FAILED.increment();
--- a/src/fleet/view/facts.rs
+++ b/src/fleet/view/facts.rs
@@ -140,7 +140,7 @@
     }
 
     /// The records for a datagram of `room` bytes, each sent at most `max_sends` times. Half of the room goes to the
-    /// youngest records, so that news spreads fast. The other half continues round-robin after the last datagram,
+    /// youngest records, so that new facts spread fast. The other half continues round-robin after the last datagram,
     /// least often sent records first, so that no record is starved.
     pub fn records_to_send(&mut self, now: Micros, room: usize, max_sends: u32) -> Vec<Record> {
         let resume_after = self.resume_after.take();
--- a/src/learning/mod.rs
+++ b/src/learning/mod.rs
@@ -209,7 +209,7 @@
     pub fn recall(&mut self, hub: &Identity, now: Micros) -> Option<ServerEstimate> {
         let learned_hub = self.hubs.remove(&hub.uid).filter(|learned_hub| learned_hub.hub == *hub)?;
         // The age counts from when the hub was last heard of. Counted from the time of the save, an estimate
-        // that was restored and saved again without news of the hub would appear fresh.
+        // that was restored and saved again without any message of the hub would appear fresh.
         let age = age(learned_hub.estimate.heard, now).filter(|age| *age <= self.decay.max_age)?;
         Some(decayed(&learned_hub.estimate, age, now, &self.decay))
     }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -433,7 +433,7 @@
         };
         self.calls.insert(id, call);
         let busy = request.number.and_then(|n| self.busy_numbers.get_mut(&n));
-        if busy.is_some_and(|s| s.holds_back(1.0, 0.0, self.now))
+        if busy.is_some_and(|throttle| throttle.holds_back(1.0, 0.0, self.now))
             || request.deadline <= self.now + ANSWER_MARGIN
         {
             return self.give_up(id, actions);
@@ -447,8 +447,12 @@
         self.refill_buckets();
         let Some(call) = self.calls.get(&id) else { return };
         let (worth, transit) = (self.relative_worth(call), call.request.transit);
-        let eligible: Vec<ServerId> =
-            self.servers.iter().filter(|(s, v)| v.up && self.usable(call, **s, v)).map(|(s, _)| *s).collect();
+        let eligible: Vec<ServerId> = self
+            .servers
+            .iter()
+            .filter(|(id, server)| server.up && self.usable(call, **id, server))
+            .map(|(id, _)| *id)
+            .collect();
         let first = eligible.iter().copied().find(|s| self.servers[s].place == call.request.place);
         if let Some(first) = first {
             if !self.holds_back(first, worth) {
@@ -472,10 +476,10 @@
     /// longer gets. The call may end before the server does, and one that is cut comes again.
     fn draining_server(&self, id: CallId) -> Option<ServerId> {
         let call = self.calls.get(&id)?;
-        let candidate = |(s, v): &(&ServerId, &Server)| !v.up && self.usable(call, **s, v);
+        let candidate = |(id, server): &(&ServerId, &Server)| !server.up && self.usable(call, **id, server);
         let mut draining: Vec<_> = self.servers.iter().filter(candidate).collect();
-        draining.sort_by_key(|(_, v)| v.place != call.request.place);
-        draining.first().map(|(s, _)| **s)
+        draining.sort_by_key(|(_, server)| server.place != call.request.place);
+        draining.first().map(|(id, _)| **id)
     }
 
     fn holds_back(&mut self, server: ServerId, worth: f64) -> bool {
@@ -484,17 +488,17 @@
     }
 
     /// Chooses a server at random, in proportion to weight times spare rate.
-    fn pick_by_weight(&mut self, others: &[ServerId]) -> Option<ServerId> {
+    fn pick_by_weight(&mut self, candidates: &[ServerId]) -> Option<ServerId> {
         let chance = self.random();
         let weight = |s: &ServerId| self.servers[s].weight * self.servers[s].spare_rate;
-        let mut point = chance * others.iter().map(weight).sum::<f64>();
-        for other in others {
-            point -= weight(other);
+        let mut point = chance * candidates.iter().map(weight).sum::<f64>();
+        for candidate in candidates {
+            point -= weight(candidate);
             if point < 0.0 {
-                return Some(*other);
+                return Some(*candidate);
             }
         }
-        others.last().copied()
+        candidates.last().copied()
     }
 
     /// Worth relative to the least class, lower for a call that can only be established late.
@@ -595,15 +599,15 @@
     /// A cold server's budget, in set-ups a second of all controllers. Its capacity is taken from its own
     /// peak rate, else from the lowest peak rate per line of the warm servers, else from an even part of all
     /// calls. Present capacity is a part of that, or what the server reports it can take, if that is more.
-    fn cold_budget(&self, to: &Server) -> f64 {
+    fn cold_budget(&self, server: &Server) -> f64 {
         let fewest = self.servers.values().filter_map(|s| s.lines).map(|l| l.1).fold(f64::INFINITY, f64::min);
         let unreported = if fewest.is_finite() { fewest * UNREPORTED_SIZE_RATIO } else { 0.0 };
-        let size = to.lines.map_or(unreported, |(_, size, _)| size);
+        let size = server.lines.map_or(unreported, |(_, size, _)| size);
         let warm = self.servers.values().filter(|s| s.up && self.now >= s.cold_until && s.peak_rate > 0.0);
         let rate_per_line =
             warm.filter_map(|s| s.lines.map(|l| s.peak_rate / l.1.max(1.0))).fold(f64::INFINITY, f64::min);
-        let capacity = if to.peak_rate > 0.0 {
-            to.peak_rate
+        let capacity = if server.peak_rate > 0.0 {
+            server.peak_rate
         } else if rate_per_line.is_finite() && size > 0.0 {
             rate_per_line * size
         } else {
@@ -611,7 +615,7 @@
             self.calls_received as f64 / (self.now - self.started).secs().max(1.0) * self.params.controllers
                 / up
         };
-        let current = (self.settings.cold_from * capacity).max(to.can_take.min(capacity));
+        let current = (self.settings.cold_from * capacity).max(server.can_take.min(capacity));
         self.settings.overload_factor * current * COLD_BUDGET_RATIO
     }
 
@@ -707,9 +711,9 @@
     /// for the throttle to change. Past the objective it is the longest.
     fn retry_after(&self, call: &Call) -> Micros {
         let left = call.due_at - self.now;
-        let away =
+        let retry_after =
             if left > SET_UP_MARGIN { left.scale(RETRY_AFTER_RATIO) } else { self.settings.max_retry_after };
-        away.min(self.settings.max_retry_after)
+        retry_after.min(self.settings.max_retry_after)
     }
 
     /// Recognises callers who dial again, by the number of the call given up: their objective counts from the
@@ -738,7 +742,7 @@
                 self.give_up(id, actions);
             }
             (RETRY_TIMER, None) if self.now >= call.retry_at => self.route(id, actions),
-            (CHECK_TIMER, Some((at, attempt))) => self.check_attempt(id, at, attempt, actions),
+            (CHECK_TIMER, Some((server_id, attempt))) => self.check_attempt(id, server_id, attempt, actions),
             _ => {}
         }
     }
@@ -746,9 +750,11 @@
     /// A server that hangs, crashed or lost its network does not look loaded. One that has answered nothing
     /// since this set-up was sent is silent: it gets only trial calls until it answers, and the set-up is
     /// cancelled while another server can still establish the call in time.
-    fn check_attempt(&mut self, id: CallId, at: ServerId, attempt: u32, actions: &mut Vec<Action>) {
+    fn check_attempt(&mut self, id: CallId, server_id: ServerId, attempt: u32, actions: &mut Vec<Action>) {
         let chance = self.random();
-        let (Some(server), Some(call)) = (self.servers.get_mut(&at), self.calls.get(&id)) else { return };
+        let (Some(server), Some(call)) = (self.servers.get_mut(&server_id), self.calls.get(&id)) else {
+            return;
+        };
         let expected = (server.wait + server.wait).max(server.last_set_up).scale(OVERDUE_FACTOR);
         let limit = self.tightest_objective.scale(SILENCE_TIMEOUT_RATIO).max(expected);
         let Some(sent) = server.pending.get(&(id, attempt)).copied() else { return };
@@ -763,9 +769,10 @@
         if !overtaken {
             let next = server.next_trial(&self.params, chance, self.now);
             server.trial_at = Some(server.trial_at.unwrap_or(next));
-            retry.tried.push(at);
+            retry.tried.push(server_id);
         }
-        let alternative = self.servers.iter().any(|(s, v)| v.up && self.usable(&retry, *s, v));
+        let alternative =
+            self.servers.iter().any(|(id, server)| server.up && self.usable(&retry, *id, server));
         if alternative && self.now < retry.due_at && self.settings.may_cancel {
             actions.push(Action::Cancel(id, attempt));
         }
@@ -853,7 +860,8 @@
     fn throttle_number(&mut self, number: u64) {
         let now = self.now;
         if self.busy_numbers.len() >= MAX_BUSY_NUMBERS && !self.busy_numbers.contains_key(&number) {
-            let oldest = self.busy_numbers.iter().min_by_key(|(_, s)| s.expires_at).map(|(n, _)| *n);
+            let oldest =
+                self.busy_numbers.iter().min_by_key(|(_, throttle)| throttle.expires_at).map(|(n, _)| *n);
             oldest.and_then(|n| self.busy_numbers.remove(&n));
         }
         let throttle = self.busy_numbers.entry(number).or_default();
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -254,7 +254,7 @@
                 connection.queue.remove(at);
                 return self.events.push(given_up(false));
             }
-            if connection.open_set_ups.get(&call).is_some_and(|b| b.attempt == attempt) {
+            if connection.open_set_ups.get(&call).is_some_and(|set_up| set_up.attempt == attempt) {
                 return connection.queue.push_back(Outgoing::GiveUp(call, attempt));
             }
         }
--- a/src/recovery/encoding.rs
+++ b/src/recovery/encoding.rs
@@ -98,37 +98,37 @@
     to_json(object).into_bytes()
 }
 
-fn parse_call_name(at: &JsonNode) -> ParseResult<CallName> {
-    let digits = at.text().ok().filter(|t| t.len() == 16);
+fn parse_call_name(node: &JsonNode) -> ParseResult<CallName> {
+    let digits = node.text().ok().filter(|t| t.len() == 16);
     digits
         .and_then(|t| u64::from_str_radix(t, 16).ok())
         .map(CallName)
-        .ok_or_else(|| at.expected("16 hex digits"))
+        .ok_or_else(|| node.expected("16 hex digits"))
 }
 
-fn parse_attempt(at: &JsonNode) -> ParseResult<u64> {
-    at.integer().ok().and_then(|n| u64::try_from(n).ok()).ok_or_else(|| at.expected("an attempt number"))
+fn parse_attempt(node: &JsonNode) -> ParseResult<u64> {
+    node.integer().ok().and_then(|n| u64::try_from(n).ok()).ok_or_else(|| node.expected("an attempt number"))
 }
 
-fn parse_identity(at: &JsonNode) -> ParseResult<Identity> {
-    let born = at.key("born");
+fn parse_identity(node: &JsonNode) -> ParseResult<Identity> {
+    let born = node.key("born");
     Ok(Identity {
-        uid: at.key("uid").text()?.into(),
-        endpoint: at.key("endpoint").text()?.into(),
-        place: at.key("hubPlace").integer()?,
+        uid: node.key("uid").text()?.into(),
+        endpoint: node.key("endpoint").text()?.into(),
+        place: node.key("hubPlace").integer()?,
         born: if born.is_present() { Some(born.micros()?) } else { None },
     })
 }
 
-fn parse_description(at: &JsonNode) -> ParseResult<Vec<u8>> {
-    let at = at.key("description");
-    hex::decode(at.text()?).map_err(|_| at.expected("hex digits"))
+fn parse_description(node: &JsonNode) -> ParseResult<Vec<u8>> {
+    let node = node.key("description");
+    hex::decode(node.text()?).map_err(|_| node.expected("hex digits"))
 }
 
-fn parse_answer(at: &JsonNode) -> ParseResult<Option<Answer>> {
-    Ok(match at.key("is").text()? {
-        "stands" => Some(Answer::Established(parse_description(at)?)),
-        "refused" => Some(Answer::Refused(at.key("away").micros()?)),
+fn parse_answer(node: &JsonNode) -> ParseResult<Option<Answer>> {
+    Ok(match node.key("is").text()? {
+        "stands" => Some(Answer::Established(parse_description(node)?)),
+        "refused" => Some(Answer::Refused(node.key("away").micros()?)),
         "failed" => Some(Answer::Failed),
         _ => None,
     })
--- a/tests/cold_hub_ramp.rs
+++ b/tests/cold_hub_ramp.rs
@@ -412,12 +412,12 @@
     }
 
     /// A refused caller dials again, up to a second after the requested wait `away`, unless its deadline is near.
-    fn redial(&mut self, id: u64, away: u64) {
+    fn redial(&mut self, id: u64, retry_after: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.answered = true;
         let Call { number, controller, class, place, first_dialled, deadline, .. } = *call;
         self.forget(id);
-        let after = away + (self.uniform() * SECOND as f64) as u64;
+        let after = retry_after + (self.uniform() * SECOND as f64) as u64;
         if self.now + after + SECOND < deadline {
             let step = Step::Redial { number, controller, class, place, first_dialled };
             self.schedule(after, step);
@@ -445,7 +445,7 @@
     fn perform(&mut self, controller: usize, action: Action) {
         match action {
             Action::Send(id, hub, timeout) => self.send(id.0, hub.0, timeout.0),
-            Action::Refuse(id, away) => self.redial(id.0, away.0),
+            Action::Refuse(id, retry_after) => self.redial(id.0, retry_after.0),
             Action::Fail(id) => self.redial(id.0, 0),
             Action::Cancel(id, attempt) => {
                 let step = Step::EndAttempt { call: id.0, attempt, outcome: Outcome::Withdrawn };
--- a/tests/common/peers.rs
+++ b/tests/common/peers.rs
@@ -110,8 +110,8 @@
         let number = NEXT_PROGRAM.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("petreldock-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let log = change_log.map(|a| a.to_string());
-        let text = change(site_config::document(&address.to_string(), log.as_deref(), targets));
+        let change_log = change_log.map(|a| a.to_string());
+        let text = change(site_config::document(&address.to_string(), change_log.as_deref(), targets));
         std::fs::write(folder.join("config.json"), text).expect("written");
         let mut command = Command::new("sh");
         command.arg("-c").arg(format!("ulimit -n {descriptors}; exec \"$0\""));
@@ -558,19 +558,19 @@
     /// after `polls_per_connection` responses.
     pub fn start(polls_per_connection: usize) -> ChangeLog {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let log = ChangeLog {
+        let change_log = ChangeLog {
             address: listener.local_addr().expect("an address"),
             events: Arc::default(),
             polls: Arc::default(),
         };
-        let (events, polls) = (log.events.clone(), log.polls.clone());
+        let (events, polls) = (change_log.events.clone(), change_log.polls.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (events, polls) = (events.clone(), polls.clone());
                 thread::spawn(move || serve_polls(stream, polls_per_connection, &events, &polls));
             }
         });
-        log
+        change_log
     }
 
     /// Appends an event with the next number.
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -38,7 +38,7 @@
     }
 
     /// Handles a new call and returns the server that it was sent to, if any.
-    fn call(&mut self, request: NewCall) -> Option<u64> {
+    fn start_call(&mut self, request: NewCall) -> Option<u64> {
         let actions = self.handle(Event::Call(request));
         sent(&actions)
     }
@@ -46,7 +46,7 @@
     fn dial(&mut self, place: i64) -> Option<u64> {
         self.last_id += 1;
         let deadline = Micros(self.now + 3 * SECOND);
-        self.call(NewCall { deadline, ..new_call(self.last_id, place) })
+        self.start_call(NewCall { deadline, ..new_call(self.last_id, place) })
     }
 
     /// A call that is established at once, so that no set-up stays pending.
@@ -60,7 +60,7 @@
         self.handle(Event::Probed(ServerId(server), Outcome::Success, report));
     }
 
-    fn end(&mut self, id: u64, server: u64, outcome: Outcome) -> Vec<Action> {
+    fn end_attempt(&mut self, id: u64, server: u64, outcome: Outcome) -> Vec<Action> {
         let (id, server, report) = (CallId(id), ServerId(server), Report::default());
         self.handle(Event::Ended(AttemptEnd {
             id,
@@ -73,7 +73,7 @@
         }))
     }
 
-    fn list(&mut self, server: u64, phase: Phase, born: u64) {
+    fn list_server(&mut self, server: u64, phase: Phase, born: u64) {
         self.handle(Event::List(ListKind::Changes, vec![entry(server, phase, born)]));
     }
 
@@ -170,7 +170,7 @@
         fixture.last_id += 1;
         let class = usize::from(n % 8 == 0);
         let deadline = Micros(fixture.now + 3 * SECOND);
-        let to = fixture.call(NewCall { class, deadline, ..new_call(fixture.last_id, 0) });
+        let to = fixture.start_call(NewCall { class, deadline, ..new_call(fixture.last_id, 0) });
         held[class] += u32::from(to != Some(0));
         if let Some(to) = to {
             fixture.handle(Event::Established(CallId(fixture.last_id), ServerId(to), 0, Micros(40_000)));
@@ -225,13 +225,16 @@
     fixture.now = at;
     let actions = fixture.handle(Event::Timer(token));
     assert_eq!(actions, vec![Action::Cancel(CallId(1), 0), Action::Fail(CallId(1))]);
-    assert!(fixture.end(1, 0, Outcome::Withdrawn).is_empty(), "an end after the final answer is ignored");
+    assert!(
+        fixture.end_attempt(1, 0, Outcome::Withdrawn).is_empty(),
+        "an end after the final answer is ignored"
+    );
 }
 
 #[test]
 fn rule_3_a_draining_or_removed_server_gets_no_call() {
     let mut fixture = Fixture::new(2);
-    fixture.list(0, Phase::Draining, 0);
+    fixture.list_server(0, Phase::Draining, 0);
     assert_eq!(fixture.dial(0), Some(1));
     fixture.handle(Event::List(ListKind::Full, vec![]));
     assert_eq!(fixture.dial(0), None, "a full list without the servers removes both");
@@ -240,12 +243,12 @@
 #[test]
 fn calls_that_would_be_refused_go_to_a_draining_server_within_its_grace() {
     let mut fixture = Fixture::new(2);
-    fixture.list(0, Phase::Draining, 0);
+    fixture.list_server(0, Phase::Draining, 0);
     assert_eq!(fixture.dial_and_establish(0), Some(1), "not while another server takes the call");
     fixture.report(1, hold_back(1.0));
     fixture.now += SECOND;
     assert_eq!(fixture.dial_and_establish(0), Some(0));
-    fixture.list(0, Phase::Draining, 0);
+    fixture.list_server(0, Phase::Draining, 0);
     fixture.now += SECOND;
     fixture.report(1, hold_back(1.0));
     assert_eq!(
@@ -254,7 +257,7 @@
         "the grace is nearly over, and the repeated announcement does not renew it"
     );
     // A server first listed as draining was told to drain at an unknown earlier time.
-    fixture.list(7, Phase::Draining, 0);
+    fixture.list_server(7, Phase::Draining, 0);
     assert_eq!(fixture.dial(7), None);
 }
 
@@ -277,7 +280,7 @@
     // Eighty calls last eight seconds each: the server carries ten a second, and four when cold.
     fixture.report(0, Report { free: Some(20.0), size: Some(100.0), ..Report::default() });
     fixture.now = 20 * SECOND;
-    fixture.list(0, Phase::Up, fixture.now);
+    fixture.list_server(0, Phase::Up, fixture.now);
     let mut last = None;
     let mut count = 0;
     for _ in 0..100 {
@@ -295,7 +298,7 @@
 #[test]
 fn rule_4_a_cold_server_gets_no_set_up_that_would_be_resent() {
     let mut fixture = Fixture::with(Settings { resend: Micros(400_000), ..settings() }, 1);
-    fixture.list(0, Phase::Up, fixture.now);
+    fixture.list_server(0, Phase::Up, fixture.now);
     fixture.report(0, wait(150));
     let at = fixture.now + 2 * SECOND;
     while fixture.now < at && fixture.dial(0).is_none() {
@@ -316,7 +319,7 @@
     let mut fixture = Fixture::new(2);
     assert_eq!(fixture.dial(0), Some(0));
     fixture.now += 100_000;
-    let actions = fixture.end(1, 0, Outcome::Broken);
+    let actions = fixture.end_attempt(1, 0, Outcome::Broken);
     assert_eq!(sent(&actions), None);
     let retry = actions.iter().find_map(|a| match a {
         Action::Timer(at, token) => Some((at.0, *token)),
@@ -335,7 +338,7 @@
     let mut fixture = Fixture::new(2);
     assert_eq!(fixture.dial(0), Some(0));
     fixture.now += 100_000;
-    fixture.end(1, 0, Outcome::Broken);
+    fixture.end_attempt(1, 0, Outcome::Broken);
     assert_eq!(fixture.dial(0), Some(0), "the next call goes there at once");
     assert_eq!(fixture.dial(0), Some(1), "and no other until it is answered");
 }
@@ -344,7 +347,7 @@
 fn attempts_that_never_ran_are_retried_elsewhere_at_once() {
     let mut fixture = Fixture::new(2);
     fixture.dial(0);
-    let actions = fixture.end(1, 0, Outcome::Unreachable);
+    let actions = fixture.end_attempt(1, 0, Outcome::Unreachable);
     assert_eq!(sent(&actions), Some(1));
 }
 
@@ -354,7 +357,7 @@
     settings.classes.iter_mut().for_each(|c| c.idempotency = Idempotency::SingleShot);
     let mut fixture = Fixture::with(settings, 2);
     fixture.dial(0);
-    fixture.end(1, 0, Outcome::TimedOut);
+    fixture.end_attempt(1, 0, Outcome::TimedOut);
     fixture.now += SECOND;
     let actions = fixture.handle(Event::Timer(3 + 1));
     assert_eq!(actions, vec![Action::Fail(CallId(1))]);
@@ -405,7 +408,11 @@
 fn a_full_processor_gets_only_trial_calls() {
     let mut fixture = Fixture::new(2);
     fixture.dial(0);
-    assert_eq!(sent(&fixture.end(1, 0, Outcome::ProcessorFull)), Some(1), "the call goes elsewhere at once");
+    assert_eq!(
+        sent(&fixture.end_attempt(1, 0, Outcome::ProcessorFull)),
+        Some(1),
+        "the call goes elsewhere at once"
+    );
     assert_eq!(fixture.count_sent_to_first_choice(0, 50), 0, "and later calls too");
     fixture.now += 300_000;
     assert_eq!(fixture.dial_and_establish(0), Some(0), "a trial call goes there");
@@ -654,7 +661,7 @@
         fixture.now += 20_000;
         fixture.last_id += 1;
         let (id, deadline) = (fixture.last_id, Micros(fixture.now + 3 * SECOND));
-        if let Some(to) = fixture.call(NewCall { number: Some(77), deadline, ..new_call(id, 0) }) {
+        if let Some(to) = fixture.start_call(NewCall { number: Some(77), deadline, ..new_call(id, 0) }) {
             sends += 1;
             let (id, server, report) = (CallId(id), ServerId(to), Report::default());
             let outcome = Outcome::Failure;
@@ -672,7 +679,7 @@
     assert!((4..=20).contains(&sends), "{sends} of 60 were sent to find out");
     fixture.now += 6 * SECOND;
     let deadline = Micros(fixture.now + 3 * SECOND);
-    assert_eq!(fixture.call(NewCall { number: Some(77), deadline, ..new_call(1000, 0) }), Some(0));
+    assert_eq!(fixture.start_call(NewCall { number: Some(77), deadline, ..new_call(1000, 0) }), Some(0));
 }
 
 #[test]
@@ -680,14 +687,14 @@
     let mut fixture = Fixture::new(1);
     fixture.report(0, hold_back(1.0));
     let first = NewCall { number: Some(9), deadline: Micros(13 * SECOND), ..new_call(1, 0) };
-    assert_eq!(fixture.call(first), None);
+    assert_eq!(fixture.start_call(first), None);
     fixture.now += 2 * SECOND;
     fixture.report(0, hold_back(0.3));
     let deadline = Micros(fixture.now + 3 * SECOND);
     let again = NewCall { number: Some(9), deadline, ..new_call(2, 0) };
-    assert_eq!(fixture.call(again), None, "it would be late, and the server holds calls back");
+    assert_eq!(fixture.start_call(again), None, "it would be late, and the server holds calls back");
     let returned = NewCall { number: Some(9), deadline, returned: true, ..new_call(3, 0) };
-    assert_eq!(fixture.call(returned), Some(0), "a cut call has a new objective");
+    assert_eq!(fixture.start_call(returned), Some(0), "a cut call has a new objective");
 }
 
 #[test]
@@ -696,7 +703,7 @@
     assert_eq!(fixture.dial(1).filter(|s| *s == 1), None, "never to the controller's own place");
     fixture.report(0, hold_back(1.0));
     let deadline = Micros(13 * SECOND);
-    assert_eq!(fixture.call(NewCall { transit: true, deadline, ..new_call(90, 0) }), None);
+    assert_eq!(fixture.start_call(NewCall { transit: true, deadline, ..new_call(90, 0) }), None);
 }
 
 #[test]
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -473,7 +473,7 @@
         let answered = caller
             .received
             .iter()
-            .any(|s| matches!(s, Received::Other(c, m, 200) if *c == call && m == "BYE"));
+            .any(|message| matches!(message, Received::Other(c, m, 200) if *c == call && m == "BYE"));
         if !open && !answered {
             caller = Caller::try_connect(program.address)?;
             caller.send("BYE", call, "", b"");
@@ -508,14 +508,14 @@
 /// Starts the program with the same descriptor limit in the system and in the configuration, and a class for each hub.
 fn start_program(
     targets: &[String],
-    log: Option<SocketAddr>,
+    change_log: Option<SocketAddr>,
     operator: &str,
     (sockets, hubs): (usize, usize),
 ) -> Program {
     let configure = |text: String| {
         with_class_per_hub(text.replace("\"sockets\":1024", &format!("\"sockets\":{sockets}")), hubs)
     };
-    Program::launch(ephemeral_address(), targets, log, Some(operator), sockets as u32, configure)
+    Program::launch(ephemeral_address(), targets, change_log, Some(operator), sockets as u32, configure)
 }
 
 /// Asserts that the program never got EMFILE and never exceeded its limit.
@@ -539,28 +539,29 @@
     let what = format!("{sockets} descriptors, {outage:?}, {kinds:?}, moves: {moves}");
     let background = Background::new();
     let hubs = Hubs::start(&background, HUBS + 1);
-    let mut log = ChangeLog::start_unavailable(&background, outage);
-    let program = start_program(&hubs.targets(0..HUBS), Some(log.address), operator, (sockets, HUBS + 1));
+    let mut change_log = ChangeLog::start_unavailable(&background, outage);
+    let program =
+        start_program(&hubs.targets(0..HUBS), Some(change_log.address), operator, (sockets, HUBS + 1));
     let monitor = DescriptorMonitor::start(&program);
     let idle_clients = IdleClients::start(&background, program.address, sockets, kinds);
     idle_clients.wait_until_saturated();
     assert_calls_succeed(&program, 0..HUBS, &format!("change log down: {what}"));
     if moves {
-        let old = log;
-        log = ChangeLog::start_unavailable(&background, Outage::Refusing);
-        let [from, to] = [&old, &log].map(|l| l.address.to_string());
+        let old = change_log;
+        change_log = ChangeLog::start_unavailable(&background, Outage::Refusing);
+        let [from, to] = [&old, &change_log].map(|l| l.address.to_string());
         let logged = format!("reloaded: change log now at {to}");
         program.reload(|text| text.replace(&from, &to), &logged);
     }
     let events: [&[String]; 2] = [&[hubs.target(1, "terminating")], &[hubs.target(HUBS, "in_service")]];
-    let restored_at = log.restore(&background, &events);
-    let polled_at = wait_until(&format!("the change log is polled: {what}"), || log.polled_after(1));
+    let restored_at = change_log.restore(&background, &events);
+    let polled_at = wait_until(&format!("the change log is polled: {what}"), || change_log.polled_after(1));
     assert!(
         polled_at - restored_at < MAX_POLL_DELAY,
         "polled {:?} after it was restored: {what}",
         polled_at - restored_at
     );
-    let received_at = wait_until(&format!("its events are received: {what}"), || log.polled_after(3));
+    let received_at = wait_until(&format!("its events are received: {what}"), || change_log.polled_after(3));
     wait_until(&format!("a call reaches the new hub: {what}"), || {
         let (number, status) = make_call(&program, HUBS);
         (status == Some(200) && hubs.received(number, HUBS)).then_some(())
@@ -645,8 +646,8 @@
     let _guard = exclusive();
     let (operator, folder) = full_operator_file();
     let background = Background::new();
-    let log = ChangeLog::start_unavailable(&background, Outage::Silent);
-    let program = start_program(&[], Some(log.address), &operator, (256, 1));
+    let change_log = ChangeLog::start_unavailable(&background, Outage::Silent);
+    let program = start_program(&[], Some(change_log.address), &operator, (256, 1));
     let monitor = DescriptorMonitor::start(&program);
     wait_until("the state is written", || {
         std::fs::read_dir(&folder)
@@ -682,8 +683,9 @@
     let what = format!("{count} hubs");
     let background = Background::new();
     let hubs = Hubs::start(&background, count + 1);
-    let mut log = ChangeLog::start_unavailable(&background, Outage::Refusing);
-    let program = start_program(&hubs.targets(0..count), Some(log.address), operator, (SOCKETS, count + 1));
+    let mut change_log = ChangeLog::start_unavailable(&background, Outage::Refusing);
+    let program =
+        start_program(&hubs.targets(0..count), Some(change_log.address), operator, (SOCKETS, count + 1));
     let monitor = DescriptorMonitor::start(&program);
     let idle_clients = IdleClients::start(
         &background,
@@ -697,8 +699,8 @@
         assert_eq!(status, Some(200), "a call to place {place}: {what}");
         assert!(hubs.received(number, place), "the call to place {place} reaches its hub: {what}");
     }
-    let restored_at = log.restore(&background, &[&hubs.targets(count..count + 1)]);
-    let polled_at = wait_until(&format!("the change log is polled: {what}"), || log.polled_after(1));
+    let restored_at = change_log.restore(&background, &[&hubs.targets(count..count + 1)]);
+    let polled_at = wait_until(&format!("the change log is polled: {what}"), || change_log.polled_after(1));
     assert!(
         polled_at - restored_at < MAX_POLL_DELAY,
         "polled {:?} after it was restored: {what}",
@@ -730,8 +732,9 @@
     let _guard = exclusive();
     let background = Background::new();
     let hubs = Hubs::start(&background, HUBS);
-    let mut log = ChangeLog::start_unavailable(&background, Outage::Refusing);
-    let program = start_program(&hubs.targets(0..HUBS), Some(log.address), DEBUG_LOGGING, (SOCKETS, HUBS));
+    let mut change_log = ChangeLog::start_unavailable(&background, Outage::Refusing);
+    let program =
+        start_program(&hubs.targets(0..HUBS), Some(change_log.address), DEBUG_LOGGING, (SOCKETS, HUBS));
     let monitor = DescriptorMonitor::start(&program);
     let idle_clients = IdleClients::start(&background, program.address, SOCKETS, &[IdleClient::Silent]);
     idle_clients.wait_until_saturated();
@@ -743,8 +746,8 @@
         let answer = caller.answer(0x5000 + place as u64);
         assert!(answer.is_some(), "an answer or a refusal, place {place}");
     }
-    let restored_at = log.restore(&background, &[]);
-    let polled_at = wait_until("the change log is polled", || log.polled_after(1));
+    let restored_at = change_log.restore(&background, &[]);
+    let polled_at = wait_until("the change log is polled", || change_log.polled_after(1));
     assert!(
         polled_at - restored_at < MAX_POLL_DELAY,
         "polled {:?} after it was restored",
@@ -763,8 +766,8 @@
     let unreachable = unreachable_hubs(&background, HUBS);
     let mut targets = reachable.targets(0..1);
     targets.extend(unreachable.iter().enumerate().map(|(n, u)| u.target(n + 1)));
-    let mut log = ChangeLog::start_unavailable(&background, Outage::Refusing);
-    let program = start_program(&targets, Some(log.address), DEBUG_LOGGING, (SOCKETS, HUBS + 1));
+    let mut change_log = ChangeLog::start_unavailable(&background, Outage::Refusing);
+    let program = start_program(&targets, Some(change_log.address), DEBUG_LOGGING, (SOCKETS, HUBS + 1));
     let monitor = DescriptorMonitor::start(&program);
     let idle_clients = IdleClients::start(&background, program.address, SOCKETS, &[IdleClient::Silent]);
     idle_clients.wait_until_saturated();
@@ -780,9 +783,9 @@
         assert!(caller.answer(last).is_some(), "an answer or a refusal");
     };
     call_all();
-    let restored_at = log.restore(&background, &[]);
+    let restored_at = change_log.restore(&background, &[]);
     call_all();
-    let polled_at = wait_until("the change log is polled", || log.polled_after(1));
+    let polled_at = wait_until("the change log is polled", || change_log.polled_after(1));
     assert!(
         polled_at - restored_at < MAX_POLL_DELAY,
         "polled {:?} after it was restored",
@@ -800,15 +803,19 @@
     let _guard = exclusive();
     let background = Background::new();
     let hubs = Hubs::start(&background, HUBS);
-    let mut log = ChangeLog::start_unavailable(&background, Outage::Refusing);
-    let program =
-        start_program(&hubs.targets(0..INITIAL_HUBS), Some(log.address), DEBUG_LOGGING, (SOCKETS, HUBS));
+    let mut change_log = ChangeLog::start_unavailable(&background, Outage::Refusing);
+    let program = start_program(
+        &hubs.targets(0..INITIAL_HUBS),
+        Some(change_log.address),
+        DEBUG_LOGGING,
+        (SOCKETS, HUBS),
+    );
     let monitor = DescriptorMonitor::start(&program);
     // Two connections to each initial hub take all descriptors for hub connections; then the number of hubs doubles.
     let idle_clients = IdleClients::start(&background, program.address, SOCKETS, &[IdleClient::Silent]);
     idle_clients.wait_until_saturated();
-    log.restore(&background, &[&hubs.targets(INITIAL_HUBS..HUBS)]);
-    wait_until("the new hubs are received", || log.polled_after(2));
+    change_log.restore(&background, &[&hubs.targets(INITIAL_HUBS..HUBS)]);
+    wait_until("the new hubs are received", || change_log.polled_after(2));
     for place in INITIAL_HUBS..HUBS {
         let (number, status) = make_call(&program, place);
         assert_eq!(status, Some(200), "a call to place {place}");
@@ -824,14 +831,14 @@
     let _guard = exclusive();
     let background = Background::new();
     let hubs = Hubs::start(&background, 1);
-    let mut log = ChangeLog::start_unavailable(&background, Outage::Refusing);
+    let mut change_log = ChangeLog::start_unavailable(&background, Outage::Refusing);
     // The system's limit is far below the configured one.
     let configure = |text: String| with_class_per_hub(text.replace("\"sockets\":1024", "\"sockets\":256"), 1);
     let started = Instant::now();
     let program = Program::launch(
         ephemeral_address(),
         &hubs.targets(0..1),
-        Some(log.address),
+        Some(change_log.address),
         Some(DEBUG_LOGGING),
         48,
         configure,
@@ -844,8 +851,8 @@
     );
     wait_until("accept fails", || program.log_contains("front: cannot accept").then_some(()));
     assert_calls_succeed(&program, [0; 4], "with no descriptor left");
-    let restored_at = log.restore(&background, &[]);
-    let polled_at = wait_until("the change log is polled", || log.polled_after(1));
+    let restored_at = change_log.restore(&background, &[]);
+    let polled_at = wait_until("the change log is polled", || change_log.polled_after(1));
     assert!(
         polled_at - restored_at < MAX_POLL_DELAY,
         "polled {:?} after it was restored",
@@ -862,15 +869,21 @@
 
 /// Measures how long the program takes to become ready while idle clients connect.
 fn measure_startup(background: &Background, targets: &[String], sockets: usize) -> Duration {
-    let log = ChangeLog::start_unavailable(background, Outage::QueueFull);
+    let change_log = ChangeLog::start_unavailable(background, Outage::QueueFull);
     let reserved = ReservedAddress::bind();
     let address = reserved.address;
     let _idle_clients =
         IdleClients::start(background, address, sockets, &[IdleClient::Silent, IdleClient::PartialMessage]);
     let configure = |text: String| text.replace("\"sockets\":1024", &format!("\"sockets\":{sockets}"));
     let started_at = Instant::now();
-    let program =
-        Program::launch(address, targets, Some(log.address), Some(DEBUG_LOGGING), sockets as u32, configure);
+    let program = Program::launch(
+        address,
+        targets,
+        Some(change_log.address),
+        Some(DEBUG_LOGGING),
+        sockets as u32,
+        configure,
+    );
     let elapsed = started_at.elapsed();
     assert!(!program.log_contains(EMFILE_TEXT), "EMFILE during start");
     elapsed
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -25,7 +25,7 @@
     record: HubRecord,
     sip_hub: Hub,
     iax2_hub: Iax2Hub,
-    log: ChangeLog,
+    change_log: ChangeLog,
     program: Program,
     iax2: SocketAddr,
 }
@@ -35,7 +35,7 @@
     let record = HubRecord::default();
     let sip_hub = Hub::start(0, sip_manner, &record);
     let iax2_hub = Iax2Hub::start(1, iax2_manner, &record);
-    let log = ChangeLog::start(100);
+    let change_log = ChangeLog::start(100);
     let iax2 = UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr()).expect("a free port");
     let operator = format!(
         r#"{{"iax2":{{"listen":"{iax2}","local":"127.0.0.1:0","hubs":[{{"uid":"desk","address":"{}","place":1}}],
@@ -43,8 +43,8 @@
         iax2_hub.address
     );
     let targets = [site_config::target("s-0", &sip_hub.address.to_string(), 0, "in_service")];
-    let program = Program::start(&targets, Some(log.address), Some(&operator));
-    Site { record, sip_hub, iax2_hub, log, program, iax2 }
+    let program = Program::start(&targets, Some(change_log.address), Some(&operator));
+    Site { record, sip_hub, iax2_hub, change_log, program, iax2 }
 }
 
 /// Checks the attempts of each call over all hubs, identified by the number called. Returns the number of attempts.
@@ -153,7 +153,7 @@
             70 => site.iax2_hub.set_behavior(HubBehavior::Reset),
             80 => site.sip_hub.set_behavior(HubBehavior::Answer),
             90 => {
-                site.log.append_event(&[site_config::target(
+                site.change_log.append_event(&[site_config::target(
                     "s-0",
                     &site.sip_hub.address.to_string(),
                     0,
@@ -178,7 +178,7 @@
         if let Some(call) = cancelled.last().filter(|c| (**c - 0x1000) / 16 == round) {
             callers[connection_of(*call)].send("CANCEL", *call, "", b"");
         }
-        if drain_polled_at.is_none() && site.log.polls.lock().expect("lock").contains(&2) {
+        if drain_polled_at.is_none() && site.change_log.polls.lock().expect("lock").contains(&2) {
             drain_polled_at = Some(Instant::now());
         }
         callers[(round % 4) as usize].receive();
@@ -192,8 +192,10 @@
             let caller = &mut callers[connection_of(call)];
             let (status, ..) = caller.answer(call).expect("every call is answered");
             caller.receive();
-            let finals =
-                caller.received.iter().filter(|s| matches!(s, Received::Answer(c, ..) if *c == call));
+            let finals = caller
+                .received
+                .iter()
+                .filter(|message| matches!(message, Received::Answer(c, ..) if *c == call));
             assert_eq!(finals.count(), 1, "{call:x}: exactly one final answer");
             *by_status.entry(status).or_default() += 1;
         }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -37,23 +37,26 @@
     let mut second = Caller::connect(program.address);
     second.send("BYE", 0xa1, "Reason: Q.850;cause=31\r\n", b"");
     hub.wait_for(0xa1, HubEvent::Release(31));
-    second.wait_for("the BYE is answered", |s| matches!(s, Received::Other(0xa1, m, 200) if m == "BYE"));
+    second.wait_for(
+        "the BYE is answered",
+        |message| matches!(message, Received::Other(0xa1, m, 200) if m == "BYE"),
+    );
     // The hub ends a call whose connection was closed: the release is sent on another connection.
     first.invite(0xa2, 3000, 0);
     assert_eq!(status(&mut first, 0xa2), 200);
     drop(first);
     hub.send(kind::RELEASE, 0xa2, &[(code::CAUSE, &[16])]);
-    second.wait_for("the release", |s| *s == Received::Bye(0xa2, 16));
+    second.wait_for("the release", |message| *message == Received::Bye(0xa2, 16));
     // While no connection is open, a release waits for the next one.
     second.invite(0xa3, 3000, 0);
     assert_eq!(status(&mut second, 0xa3), 200);
     drop(second);
     hub.send(kind::RELEASE, 0xa3, &[(code::CAUSE, &[41])]);
     let mut third = Caller::connect(program.address);
-    third.wait_for("the waiting release", |s| *s == Received::Bye(0xa3, 41));
+    third.wait_for("the waiting release", |message| *message == Received::Bye(0xa3, 41));
     // A release of a call from before the start is passed on too.
     hub.send(kind::RELEASE, 0xbeef, &[(code::CAUSE, &[16])]);
-    third.wait_for("the release of an unknown call", |s| *s == Received::Bye(0xbeef, 16));
+    third.wait_for("the release of an unknown call", |message| *message == Received::Bye(0xbeef, 16));
 }
 
 #[test]
@@ -94,8 +97,11 @@
         (hub.events_of(0xc1).iter().filter(|s| **s == HubEvent::Release(16)).count() == 2).then_some(())
     });
     caller.send("CANCEL", 0xc1, "", b"");
-    caller.wait_for("481 for a set-up that has ended", |s| matches!(s, Received::Other(0xc1, _, 481)));
-    let finals = caller.received.iter().filter(|s| matches!(s, Received::Answer(0xc1, ..))).count();
+    caller.wait_for("481 for a set-up that has ended", |message| {
+        matches!(message, Received::Other(0xc1, _, 481))
+    });
+    let finals =
+        caller.received.iter().filter(|message| matches!(message, Received::Answer(0xc1, ..))).count();
     assert_eq!(finals, 1);
     // A BYE before the answer withdraws the set-up too.
     caller.invite(0xc3, 3000, 1);
@@ -131,7 +137,7 @@
     assert!(!caller.received.contains(&Received::Bye(0xd1, 41)));
     hub.kill();
     for call in [0xd1, 0xd2] {
-        caller.wait_for("the dead hub's calls are released", |s| *s == Received::Bye(call, 41));
+        caller.wait_for("the dead hub's calls are released", |message| *message == Received::Bye(call, 41));
     }
 }
 
@@ -154,17 +160,19 @@
     let hubs = [Hub::start(0, HubBehavior::Answer, &record), Hub::start(1, HubBehavior::Answer, &record)];
     // The change log closes the connection after each answer. The poller must reconnect and continue after the last
     // event.
-    let log = ChangeLog::start(1);
-    let program = Program::start(&targets(&[&hubs[0], &hubs[1]]), Some(log.address), None);
+    let change_log = ChangeLog::start(1);
+    let program = Program::start(&targets(&[&hubs[0], &hubs[1]]), Some(change_log.address), None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0xf0, 3000, 0);
     assert_eq!(status(&mut caller, 0xf0), 200);
     assert_eq!(hubs[0].events_of(0xf0), [HubEvent::SetUp, HubEvent::Answered]);
-    log.append_event(&[site_config::target("s-0", &hubs[0].address.to_string(), 0, "terminating")]);
-    wait_until("the poller has the event", || log.polls.lock().expect("lock").contains(&2).then_some(()));
-    let before = log.polls.lock().expect("lock").len();
+    change_log.append_event(&[site_config::target("s-0", &hubs[0].address.to_string(), 0, "terminating")]);
+    wait_until("the poller has the event", || {
+        change_log.polls.lock().expect("lock").contains(&2).then_some(())
+    });
+    let before = change_log.polls.lock().expect("lock").len();
     std::thread::sleep(Duration::from_millis(2100));
-    let polls = log.polls.lock().expect("lock").len() - before;
+    let polls = change_log.polls.lock().expect("lock").len() - before;
     assert!(polls >= 12, "polling continues without gaps after each closed connection: {polls} polls");
     let drained = Instant::now();
     for call in 0xf1..0xf9 {
@@ -175,9 +183,11 @@
         record.lock().expect("lock").iter().any(|e| e.0 > drained && e.2 == 0 && e.3 == HubEvent::SetUp);
     assert!(!sent_late, "no set-up after the grace period of the drain");
     assert!((0xf1..0xf9).any(|c| hubs[1].events_of(c).contains(&HubEvent::Answered)));
-    log.append_event(&[site_config::target("s-0", &hubs[0].address.to_string(), 0, "terminated")]);
-    caller.wait_for("the call on the terminated hub is released", |s| *s == Received::Bye(0xf0, 41));
-    let polls = log.polls.lock().expect("lock").clone();
+    change_log.append_event(&[site_config::target("s-0", &hubs[0].address.to_string(), 0, "terminated")]);
+    caller.wait_for("the call on the terminated hub is released", |message| {
+        *message == Received::Bye(0xf0, 41)
+    });
+    let polls = change_log.polls.lock().expect("lock").clone();
     assert!(polls.windows(2).all(|w| w[0] <= w[1]) && polls[0] == 1, "without gaps: {polls:?}");
 }
 
@@ -190,14 +200,14 @@
     let mut program = Program::start(&targets(&[&hub]), Some(old.address), None);
     let moved = [Hub::start(2, HubBehavior::Answer, &record), Hub::start(1, HubBehavior::Answer, &record)];
     let added = |i: usize| [targets(&[&moved[i]]).remove(0)];
-    for log in [&old, &new] {
-        log.append_event(&added(0));
+    for change_log in [&old, &new] {
+        change_log.append_event(&added(0));
     }
     wait_until("the poller has event 2", || old.polls.lock().expect("lock").contains(&2).then_some(()));
     let mut caller = Caller::connect(program.address);
     caller.invite(0x51, 3000, 0);
     hub.wait_for(0x51, HubEvent::SetUp);
-    let address = |log: &ChangeLog| format!("{:?}", log.address.to_string());
+    let address = |change_log: &ChangeLog| format!("{:?}", change_log.address.to_string());
     let (old_address, new_address) = (address(&old), address(&new));
     let (valid, invalid) = ("\"balancers\":1", "\"balancers\":0");
     let rejected = "not reloaded: settings: balancers must be at least 1";
@@ -260,7 +270,7 @@
     caller.send("INVITE", 0x9a, &long, b"");
     assert_eq!(status(&mut caller, 0x9a), 513, "headers that a response must repeat are too long");
     caller.send("PUBLISH", 0x94, "", b"");
-    caller.wait_for("405", |s| matches!(s, Received::Other(0x94, _, 405)));
+    caller.wait_for("405", |message| matches!(message, Received::Other(0x94, _, 405)));
     caller.invite(0x95, 3000, 0);
     assert_eq!(status(&mut caller, 0x95), 200, "the connection stays open");
     let mut lost = Caller::connect(program.address);
@@ -269,7 +279,7 @@
     // A malformed binary message only closes its connection. Unknown types and parameters are ignored.
     hub.send(99, 5, &[(250, b"new")]);
     hub.send(kind::RELEASE, 0x95, &[(250, b"new"), (code::CAUSE, &[16])]);
-    caller.wait_for("released", |s| *s == Received::Bye(0x95, 16));
+    caller.wait_for("released", |message| *message == Received::Bye(0x95, 16));
     caller.invite(0x96, 3000, 0);
     assert_eq!(status(&mut caller, 0x96), 200);
     let before = hub.connections.lock().expect("lock").len();
--- a/tests/release_before_answer.rs
+++ b/tests/release_before_answer.rs
@@ -64,13 +64,17 @@
     let set_up = hub.wait_for_set_up(call, 1);
     let released = Instant::now();
     hub.send(set_up.connection, kind::RELEASE, call, &[(code::CAUSE, &[cause])]);
-    let (status, away, _) = caller.answer(call).expect("a final answer");
+    let (status, retry_after, _) = caller.answer(call).expect("a final answer");
     assert!(
         released.elapsed() < MAX_RELEASE_DELAY,
         "cause {cause}: final response after {:?}",
         released.elapsed()
     );
-    assert_eq!((status, away), (500, None), "cause {cause}: the call may have run, so it is not refused");
+    assert_eq!(
+        (status, retry_after),
+        (500, None),
+        "cause {cause}: the call may have run, so it is not refused"
+    );
     ReleasedCall { call, cause, set_up, answer_at: released + answer_delay, caller }
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    fn list(&mut self, server: u64, phase: Phase, born: u64) {
+    fn list_server(&mut self, server: u64, phase: Phase, born: u64) {
         self.up.insert(server, phase == Phase::Up);
         let born = Some(Micros(born)).filter(|b| b.0 > 0);
         let entry =
@@ -100,7 +100,7 @@
         self.handle(Event::List(ListKind::Changes, vec![entry]));
     }
 
-    fn call(&mut self, place: i64, number: u64, returned: bool) {
+    fn start_call(&mut self, place: i64, number: u64, returned: bool) {
         let (id, deadline) = (self.next_id, self.now + 3_000_000);
         self.next_id += 1;
         self.calls.insert(id, ExpectedCall { deadline, ..ExpectedCall::default() });
@@ -115,7 +115,7 @@
         self.handle(Event::Call(request));
     }
 
-    fn end(&mut self, pick: usize, outcome: Outcome, report: Report) {
+    fn end_attempt(&mut self, pick: usize, outcome: Outcome, report: Report) {
         let in_flight: Vec<u64> =
             self.calls.iter().filter(|(_, c)| c.in_flight.is_some()).map(|(i, _)| *i).collect();
         let Some(id) = in_flight.get(pick % in_flight.len().max(1)).copied() else { return };
@@ -205,25 +205,25 @@
 fn run_steps(settings: &Settings, steps: &[Step], seed: u64) {
     let mut environment = Environment::new(settings.clone(), seed);
     for server in 0..3 {
-        environment.list(server, Phase::Up, 0);
+        environment.list_server(server, Phase::Up, 0);
     }
     for step in steps {
         match step.clone() {
-            Step::Call(place, number, returned) => environment.call(place, number, returned),
+            Step::Call(place, number, returned) => environment.start_call(place, number, returned),
             Step::Advance(by) => environment.advance(by),
-            Step::List(server, phase, born) => environment.list(server, phase, born),
+            Step::List(server, phase, born) => environment.list_server(server, phase, born),
             Step::End(pick, outcome, wait, hold_back, free) => {
                 let wait = wait.map(Micros);
                 let report =
                     Report { wait, hold_back, free: Some(free), size: Some(30.0), ..Report::default() };
-                environment.end(pick, outcome, report);
+                environment.end_attempt(pick, outcome, report);
             }
             Step::Establish(pick) => environment.establish(pick),
         }
     }
     environment.advance(20_000_000);
     while environment.calls.values().any(|c| c.in_flight.is_some()) {
-        environment.end(0, Outcome::Success, Report::default());
+        environment.end_attempt(0, Outcome::Success, Report::default());
     }
     let (calls, servers, numbers) = environment.controller.tracked_counts();
     assert_eq!(calls, 0, "no ended call is kept");
--- a/tests/shutdown_and_teardown.rs
+++ b/tests/shutdown_and_teardown.rs
@@ -87,8 +87,8 @@
     caller.invite(0xb0, 15_000, 0);
     hub.wait_for_set_up(0xb0, 1);
     program.signal("-TERM");
-    let (code, away, _) = caller.answer(0xb0).expect("an answer");
-    assert_eq!((code, away), (500, None), "the caller would dial again after a refusal");
+    let (code, retry_after, _) = caller.answer(0xb0).expect("an answer");
+    assert_eq!((code, retry_after), (500, None), "the caller would dial again after a refusal");
     assert_eq!(hub.wait_for_release(0xb0).cause, Some(16), "the hub gets a give-up");
 }
 
@@ -137,8 +137,9 @@
     wait_until("the program exits", || program.child.try_wait().expect("waited"));
     // A caller repeats a request that crosses the close of its connection, so the last ones do not count.
     let received = sent.iter().filter(|(_, at)| *at + 50 * MILLISECOND < ended);
-    let is_answered =
-        |call: u64| caller.received.iter().any(|s| matches!(s, Received::Answer(c, ..) if *c == call));
+    let is_answered = |call: u64| {
+        caller.received.iter().any(|message| matches!(message, Received::Answer(c, ..) if *c == call))
+    };
     let lost: Vec<_> = received.filter(|(call, _)| !is_answered(*call)).collect();
     assert!(
         lost.is_empty(),
@@ -175,9 +176,9 @@
     hub.send(new_set_up.connection, kind::RELEASE, 0xc0, &[(code::CAUSE, &[16])]);
     hub.answer(&new_set_up);
     assert_eq!(answer_status(&mut second, 0xc2), 200);
-    second.wait_for("the BYE of the old call", |s| *s == Received::Bye(0xc0, 16));
+    second.wait_for("the BYE of the old call", |message| *message == Received::Bye(0xc0, 16));
     assert!(
-        !second.received.iter().any(|s| matches!(s, Received::Answer(0xc1, ..))),
+        !second.received.iter().any(|message| matches!(message, Received::Answer(0xc1, ..))),
         "{:?}",
         second.received
     );
@@ -239,8 +240,8 @@
     let half = invite_request(0xe0, 15_000, 0);
     idle[0].stream.write_all(&half[..40]).expect("written");
     idle[21].send("OPTIONS", 0xe9, "", b"");
-    idle[21].wait_for("the response to the request after the half one", |s| {
-        matches!(s, Received::Other(0xe9, _, 200))
+    idle[21].wait_for("the response to the request after the half one", |message| {
+        matches!(message, Received::Other(0xe9, _, 200))
     });
     program.pause();
     for (n, caller) in idle[1..4].iter_mut().enumerate() {
@@ -279,8 +280,8 @@
             true => hub.break_connection(set_up.connection),
             false => hub.send(set_up.connection, kind::RELEASE, set_up.call, &[(code::CAUSE, &[41])]),
         }
-        let (code, away, _) = caller.answer(0xf0).expect("an answer");
-        assert_eq!((code, away), (500, None), "the caller would dial again after a refusal");
+        let (code, retry_after, _) = caller.answer(0xf0).expect("an answer");
+        assert_eq!((code, retry_after), (500, None), "the caller would dial again after a refusal");
         // A later call shows that no attempt follows: the pause of 200 ms is over and the connection is up again.
         sleep(Duration::from_millis(300));
         caller.invite(0xf1, 15_000, 0);
@@ -359,7 +360,9 @@
     drop(disconnects);
     // This request is read after the close of the other connection.
     waits.send("OPTIONS", 0x39, "", b"");
-    waits.wait_for("the response to the later request", |s| matches!(s, Received::Other(0x39, _, 200)));
+    waits.wait_for("the response to the later request", |message| {
+        matches!(message, Received::Other(0x39, _, 200))
+    });
     hub.receive();
     drop(filling);
     let late = hub.wait_for_set_up(0x32, 1);
@@ -514,8 +517,8 @@
 // ---- polls of the change log that hang ----
 
 /// Accepts the next poll of a change log, and returns its connection and its `since`.
-fn accept_poll(log: &TcpListener) -> (TcpStream, u64) {
-    let (mut stream, _) = log.accept().expect("asked");
+fn accept_poll(listener: &TcpListener) -> (TcpStream, u64) {
+    let (mut stream, _) = listener.accept().expect("asked");
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     let (mut text, mut bytes) = (Vec::new(), [0; 512]);
     while !text.ends_with(b"\r\n\r\n") {
@@ -539,25 +542,25 @@
 fn the_grace_period_of_a_drain_includes_the_time_of_a_hung_poll() {
     let _no_flood = exclude_flood();
     let (mut hub, mut other) = (ScriptedHub::new(), ScriptedHub::new());
-    let log = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = log.local_addr().expect("an address");
+    let change_log = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = change_log.local_addr().expect("an address");
     let drain = site_config::target("s-0", &hub.address.to_string(), 0, "terminating");
     let change_log = std::thread::spawn(move || {
-        let (mut first, since) = accept_poll(&log);
+        let (mut first, since) = accept_poll(&change_log);
         assert_eq!(since, 1);
         first.write_all(change_log_response(1, &[]).as_bytes()).expect("written");
         drop(first);
         // One poll gets no response and one only part of the drain event; both connections stay open.
-        let (unanswered, _) = accept_poll(&log);
-        let (mut partial, since) = accept_poll(&log);
+        let (unanswered, _) = accept_poll(&change_log);
+        let (mut partial, since) = accept_poll(&change_log);
         assert_eq!(since, 1);
         let response = change_log_response(2, &[drain]);
         partial.write_all(&response.as_bytes()[..response.len() - 20]).expect("written");
-        let (mut complete, since) = accept_poll(&log);
+        let (mut complete, since) = accept_poll(&change_log);
         assert_eq!(since, 1, "a partial response changes nothing");
         complete.write_all(response.as_bytes()).expect("written");
         drop(complete);
-        let (next, since) = accept_poll(&log);
+        let (next, since) = accept_poll(&change_log);
         assert_eq!(since, 2, "the event is applied");
         drop((unanswered, partial, next));
     });
@@ -577,8 +580,8 @@
         assert_eq!(hub.set_up_count(call), 0);
     }
     hub.send(before.connection, kind::RELEASE, 0x70, &[(code::CAUSE, &[16])]);
-    caller.wait_for("the call at the draining hub continues until its release", |s| {
-        *s == Received::Bye(0x70, 16)
+    caller.wait_for("the call at the draining hub continues until its release", |message| {
+        *message == Received::Bye(0x70, 16)
     });
 }
 
@@ -690,7 +693,7 @@
     let program = Program::start(&targets, Some(unreachable[2]), None);
     let mut caller = Caller::connect(program.address);
     caller.invite(0x60, 15_000, 0);
-    let (code, away, _) = caller.answer(0x60).expect("an answer");
+    let (code, retry_after, _) = caller.answer(0x60).expect("an answer");
     assert_eq!(code, 503, "refused at once");
-    assert!(away.is_some_and(|ms| ms > 0), "with a time to come back");
+    assert!(retry_after.is_some_and(|ms| ms > 0), "with a time to come back");
 }
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -45,7 +45,7 @@
     caller.invite(0x11, 3000, 0);
     assert_eq!(caller.answer(0x11).map(|a| a.0), Some(200));
     hub.send(kind::RELEASE, 0x11, &[(code::CAUSE, &[16]), (code::REPORT, b"x0:90;x1:100;qps:17")]);
-    caller.wait_for("released", |s| *s == Received::Bye(0x11, 16));
+    caller.wait_for("released", |message| *message == Received::Bye(0x11, 16));
     // While the program runs, `state show` prints what it has learned.
     wait_until("the rate is saved", || {
         let shown = command(&["state", "show", "--json"], &path);
