--- a/lab/src/soak/audit.rs
+++ b/lab/src/soak/audit.rs
@@ -229,12 +229,12 @@
     };
     // A frozen hub reads and records messages long after they were sent.
     let is_reliable = |event: &&HubEvent| !is_faulty(event.hub, event.at, event.at);
-    let mut outstanding: Option<&HubEvent> = None;
+    let mut open_set_up: Option<&HubEvent> = None;
     let mut earliest_retry: Option<Instant> = None;
     for event in events.iter().filter(is_reliable) {
         match event.kind {
             HubEventKind::SetUp => {
-                if let Some(before) = outstanding.filter(|o| !is_faulty(o.hub, o.at, event.at)) {
+                if let Some(before) = open_set_up.filter(|o| !is_faulty(o.hub, o.at, event.at)) {
                     return Some(format!(
                         "sent to hub {} while outstanding at hub {}",
                         event.hub, before.hub
@@ -243,18 +243,18 @@
                 if earliest_retry.is_some_and(|at| event.at + facts.tolerance() < at) {
                     return Some("retried before the retry interval has passed".into());
                 }
-                outstanding = Some(event);
+                open_set_up = Some(event);
             }
-            HubEventKind::GivenUp if outstanding.is_some_and(|o| o.hub == event.hub) => {
-                (outstanding, earliest_retry) = (None, Some(event.at + MIN_RETRY_INTERVAL));
+            HubEventKind::GivenUp if open_set_up.is_some_and(|o| o.hub == event.hub) => {
+                (open_set_up, earliest_retry) = (None, Some(event.at + MIN_RETRY_INTERVAL));
             }
             HubEventKind::Refused
             | HubEventKind::Ended { .. }
             | HubEventKind::Died
             | HubEventKind::ReleasedByController
-                if outstanding.is_some_and(|o| o.hub == event.hub) =>
+                if open_set_up.is_some_and(|o| o.hub == event.hub) =>
             {
-                outstanding = None;
+                open_set_up = None;
             }
             _ => {}
         }
--- a/lab/src/soak/hub.rs
+++ b/lab/src/soak/hub.rs
@@ -175,7 +175,7 @@
         self.spawn(async move { shared.serve(read, out).await });
     }
 
-    /// Sends outstanding releases on a new connection and handles its messages until it is closed.
+    /// Sends the unsent releases on a new connection and handles its messages until it is closed.
     async fn serve(self, mut read: OwnedReadHalf, out: MessageSender) {
         self.wait_until_resumed().await;
         let _ = out.send(self.state());
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -193,7 +193,7 @@
     /// Number of set-ups received from callers since the start.
     pub offered: u64,
     /// Number of calls at hubs, both set-ups without an answer and established calls.
-    pub open: u32,
+    pub open_calls: u32,
     /// Sequence number of the newest change-log event seen.
     pub seq: u64,
     /// The process is shutting down.
@@ -447,8 +447,8 @@
             self.collect_state(now, HUBS_COLLECTED_PER_TICK);
         }
         if let Some(sender) = &self.load_sender {
-            let (open, stopping) = (self.calls_by_link.len() as u32, self.stopping);
-            sender.send_replace(LoadSummary { offered: self.offered, open, seq: self.seq, stopping });
+            let (open_calls, stopping) = (self.calls_by_link.len() as u32, self.stopping);
+            sender.send_replace(LoadSummary { offered: self.offered, open_calls, seq: self.seq, stopping });
         }
         let previous = *self.status.borrow();
         let ready = previous.ready || self.started + READY_TIMEOUT <= now || self.has_initial_state();
--- a/src/fleet/show.rs
+++ b/src/fleet/show.rs
@@ -88,7 +88,7 @@
             displaced: member.displaced,
             since_ms: (now - member.since).0 / 1000,
             offered: facts.as_ref().map(|f| f.offered.into()),
-            out: facts.as_ref().map(|f| f.outstanding.into()),
+            out: facts.as_ref().map(|f| f.open_calls.into()),
             seq: facts.as_ref().map(|f| f.change_log_seq),
             program: facts.map(|f| f.program),
             facts_age_ms: age,
--- a/src/fleet/task.rs
+++ b/src/fleet/task.rs
@@ -172,7 +172,7 @@
         self.last_load = (now, load);
         let facts = Facts {
             offered,
-            outstanding: load.open,
+            open_calls: load.open_calls,
             change_log_seq: load.seq,
             program: env!("CARGO_PKG_VERSION").into(),
             leaving: leaving || load.stopping,
--- a/src/fleet/view/facts.rs
+++ b/src/fleet/view/facts.rs
@@ -10,7 +10,7 @@
 /// Tags of the encoded facts.
 mod tag {
     pub const OFFERED: u8 = 1;
-    pub const OUTSTANDING: u8 = 2;
+    pub const OPEN_CALLS: u8 = 2;
     pub const CHANGE_LOG_SEQ: u8 = 3;
     pub const PROGRAM: u8 = 4;
     pub const LEAVING: u8 = 5;
@@ -22,7 +22,7 @@
     /// Calls offered to the member per second.
     pub offered: u32,
     /// Set-ups awaiting an answer from a hub, plus established calls.
-    pub outstanding: u32,
+    pub open_calls: u32,
     /// Sequence number of the newest change-log event that the member has received.
     pub change_log_seq: u64,
     /// Version of the member's program.
@@ -47,7 +47,7 @@
             put(tag::LEAVING, &[]);
         }
         put(tag::OFFERED, &self.offered.to_be_bytes());
-        put(tag::OUTSTANDING, &self.outstanding.to_be_bytes());
+        put(tag::OPEN_CALLS, &self.open_calls.to_be_bytes());
         put(tag::CHANGE_LOG_SEQ, &self.change_log_seq.to_be_bytes());
         put(tag::PROGRAM, &self.program.as_bytes()[..self.program.len().min(32)]);
         self.unknown.iter().for_each(|(tag, value)| put(*tag, value));
@@ -63,7 +63,7 @@
             let number = |v: &[u8]| v.iter().take(8).fold(0u64, |n, b| n << 8 | u64::from(*b));
             match *tag {
                 tag::OFFERED => facts.offered = number(value) as u32,
-                tag::OUTSTANDING => facts.outstanding = number(value) as u32,
+                tag::OPEN_CALLS => facts.open_calls = number(value) as u32,
                 tag::CHANGE_LOG_SEQ => facts.change_log_seq = number(value),
                 tag::PROGRAM => facts.program = String::from_utf8_lossy(value).into_owned(),
                 tag::LEAVING => facts.leaving = true,
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -73,7 +73,7 @@
 /// Interval of the checks for stalled, missing, silent and idle connections.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after which a release that no connection could take is dropped, as it is of no use any more.
-const PARKED_RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
+const WAITING_RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// State of a link's task.
 struct Link {
@@ -86,7 +86,7 @@
     /// Set-ups received while no connection is open.
     waiting_set_ups: VecDeque<SetUp>,
     /// Releases received while no connection is open, with the time of their arrival.
-    parked_releases: VecDeque<(Instant, CallName, Cause)>,
+    waiting_releases: VecDeque<(Instant, CallName, Cause)>,
     /// Calls that stand, each with the id of the connection it was set up on.
     standing_calls: HashMap<CallName, u64>,
     /// No set-up may begin from this time on; set while the hub drains.
@@ -129,7 +129,7 @@
         connections: Vec::new(),
         dials: JoinSet::new(),
         waiting_set_ups: VecDeque::new(),
-        parked_releases: VecDeque::new(),
+        waiting_releases: VecDeque::new(),
         standing_calls: HashMap::new(),
         set_up_cutoff: None,
         next_dial: Some(Instant::now()),
@@ -181,7 +181,7 @@
             }
             self.write_connections();
             self.unsent_ends.set(
-                self.parked_releases.len()
+                self.waiting_releases.len()
                     + self.connections.iter().map(Connection::unsent_ends).sum::<usize>(),
             );
             for event in self.events.drain(..) {
@@ -230,7 +230,7 @@
                 match index.and_then(|i| self.connections.get_mut(i)) {
                     Some(connection) => connection.queue.push_back(Outgoing::Release(call, cause)),
                     None => {
-                        self.parked_releases.push_back((Instant::now(), call, cause));
+                        self.waiting_releases.push_back((Instant::now(), call, cause));
                         self.start_dial();
                     }
                 }
@@ -269,7 +269,7 @@
     /// descriptors, but at least one while calls or queued commands need it.
     fn target_connections(&self) -> usize {
         let needed = !self.waiting_set_ups.is_empty()
-            || !self.parked_releases.is_empty()
+            || !self.waiting_releases.is_empty()
             || !self.standing_calls.is_empty();
         self.connection_limit.allowance(TARGET_CONNECTIONS).max(usize::from(needed))
     }
@@ -286,7 +286,7 @@
             let silent = self.is_quiet_with_calls(Instant::now());
             let permit = self
                 .connection_limit
-                .acquire(!self.waiting_set_ups.is_empty() || !self.parked_releases.is_empty() || silent);
+                .acquire(!self.waiting_set_ups.is_empty() || !self.waiting_releases.is_empty() || silent);
             self.dials.spawn(async move {
                 let address = address.ok_or(io::ErrorKind::InvalidInput)?;
                 let permit = permit.await?;
@@ -330,7 +330,7 @@
                     "connection opened"
                 );
                 let mut queue: VecDeque<Outgoing> = self
-                    .parked_releases
+                    .waiting_releases
                     .drain(..)
                     .map(|(_, call, cause)| Outgoing::Release(call, cause))
                     .collect();
@@ -513,7 +513,7 @@
         if self.connections.len() < self.target_connections() && self.next_dial.is_none() {
             self.redial();
         }
-        self.parked_releases.retain(|(since, ..)| now - *since < PARKED_RELEASE_TIMEOUT);
+        self.waiting_releases.retain(|(since, ..)| now - *since < WAITING_RELEASE_TIMEOUT);
         self.check_unresponsive(now);
         // A machine that failed or is cut off sends nothing, and its connections stay open.
         let quiet = self.is_quiet_with_calls(now) && now - self.last_connected >= QUIET_TIMEOUT;
--- a/src/net/sip_server/connection.rs
+++ b/src/net/sip_server/connection.rs
@@ -371,8 +371,9 @@
 
     /// Drops set-ups that were not sent to the core, because their caller has disconnected.
     fn drop_unsent_offers(&mut self, inputs: &mut Vec<Input>) {
-        inputs
-            .retain(|input| !matches!(input, Input::Offer(o) if self.open_set_ups.remove(&o.call).is_some()));
+        inputs.retain(
+            |input| !matches!(input, Input::Offer(offer) if self.open_set_ups.remove(&offer.call).is_some()),
+        );
     }
 
     /// Sends the pending inputs to the core when the connection closes, except set-ups.
@@ -439,8 +440,8 @@
     async fn fail_open_set_ups(&mut self) {
         let mut open: Vec<(CallName, OpenSetUp)> = self.open_set_ups.drain().collect();
         open.sort_by_key(|(call, _)| *call);
-        for (call, open) in open {
-            self.respond((500, "Server Internal Error"), &open.headers, &[], &[]);
+        for (call, set_up) in open {
+            self.respond((500, "Server Internal Error"), &set_up.headers, &[], &[]);
             let withdrawn = Input::Withdrawn(self.server.id, Origin(self.number), call);
             self.server.send_to_core(withdrawn).await;
         }
--- a/src/net/sip_server/connection/messages.rs
+++ b/src/net/sip_server/connection/messages.rs
@@ -55,9 +55,9 @@
                 Err(()) => self.respond((400, "Bad Request"), &headers, &[], &[]),
             },
             ("CANCEL", Some(call)) => match self.open_set_ups.remove(&call) {
-                Some(open) => {
+                Some(set_up) => {
                     self.respond((200, "OK"), &headers, &[], &[]);
-                    self.respond((487, "Request Terminated"), &open.headers, &[], &[]);
+                    self.respond((487, "Request Terminated"), &set_up.headers, &[], &[]);
                     inputs.push(Input::Withdrawn(id, origin, call));
                 }
                 None => self.respond((481, "Call/Transaction Does Not Exist"), &headers, &[], &[]),
@@ -67,8 +67,8 @@
                 self.respond((200, "OK"), &headers, &[], &[]);
                 // A BYE before the answer cancels the set-up, whose INVITE still needs a final response.
                 match self.open_set_ups.remove(&call) {
-                    Some(open) => {
-                        self.respond((487, "Request Terminated"), &open.headers, &[], &[]);
+                    Some(set_up) => {
+                        self.respond((487, "Request Terminated"), &set_up.headers, &[], &[]);
                         inputs.push(Input::Withdrawn(id, origin, call));
                     }
                     None => {
@@ -118,14 +118,14 @@
         self.last_used = Instant::now();
         match message {
             ToFront::Answer(_, call, description) => match self.open_set_ups.remove(&call) {
-                Some(open) => {
+                Some(set_up) => {
                     self.answered_calls += 1;
                     let contact = format!("<sip:petreldock@{}>", self.server.listen);
                     let more = [("Contact", &*contact), ("Content-Type", SDP)];
                     // The description of a hub that uses another protocol is of no use to a SIP caller.
                     match description.format == SDP {
-                        true => self.respond((200, "OK"), &open.headers, &more, &description.bytes),
-                        false => self.respond((200, "OK"), &open.headers, &more[..1], &[]),
+                        true => self.respond((200, "OK"), &set_up.headers, &more, &description.bytes),
+                        false => self.respond((200, "OK"), &set_up.headers, &more[..1], &[]),
                     }
                     self.unwritten_answers.push_back((self.bytes_written + self.output.len() as u64, call));
                 }
@@ -136,16 +136,16 @@
                 }
             },
             ToFront::Refuse(_, call, retry_after) => {
-                if let Some(open) = self.open_set_ups.remove(&call) {
+                if let Some(set_up) = self.open_set_ups.remove(&call) {
                     let retry_after_ms = (retry_after.0 / 1000).to_string();
                     let more = [("Come-Back-Ms", &*retry_after_ms)];
                     let more = if retry_after_ms == "0" { &[][..] } else { &more[..] };
-                    self.respond((503, "Service Unavailable"), &open.headers, more, &[]);
+                    self.respond((503, "Service Unavailable"), &set_up.headers, more, &[]);
                 }
             }
             ToFront::Fail(_, call) => {
-                if let Some(open) = self.open_set_ups.remove(&call) {
-                    self.respond((500, "Server Internal Error"), &open.headers, &[], &[]);
+                if let Some(set_up) = self.open_set_ups.remove(&call) {
+                    self.respond((500, "Server Internal Error"), &set_up.headers, &[], &[]);
                 }
             }
             ToFront::Release(origin, call, cause) => {
--- a/tests/common/peers.rs
+++ b/tests/common/peers.rs
@@ -320,7 +320,7 @@
     pub fn wait_for(&mut self, what: &str, found: impl Fn(&Received) -> bool) -> Received {
         wait_until(what, || {
             self.receive();
-            self.received.iter().find(|s| found(s)).cloned()
+            self.received.iter().find(|message| found(message)).cloned()
         })
     }
 }
--- a/tests/fleet_wire.rs
+++ b/tests/fleet_wire.rs
@@ -82,7 +82,7 @@
             age_ms: 7,
             facts: Facts {
                 offered: 62,
-                outstanding: 9,
+                open_calls: 9,
                 change_log_seq: 41,
                 program: "1".into(),
                 ..Facts::default()
@@ -136,7 +136,7 @@
         let mut gen = Gen::from_size_and_seed(20, seed);
         let mut facts = Facts {
             offered: u32::arbitrary(&mut gen),
-            outstanding: u32::arbitrary(&mut gen),
+            open_calls: u32::arbitrary(&mut gen),
             change_log_seq: u64::arbitrary(&mut gen),
             program: "0.1.0".into(),
             leaving: bool::arbitrary(&mut gen),
