--- a/tests/abandoned_calls.rs
+++ b/tests/abandoned_calls.rs
@@ -225,7 +225,7 @@
 /// second one and end with that.
 fn close_hub_connections(program: &Program, hub: &mut ScriptedHub) {
     program.pause();
-    (0..hub.connections.len()).for_each(|link| hub.break_connection(link));
+    (0..hub.connections.len()).for_each(|connection| hub.break_connection(connection));
     program.resume();
 }
 
@@ -617,7 +617,7 @@
     while stuck < 4 {
         last += 1;
         // A progress message shows that a connection is alive: otherwise the program would open another one beside it.
-        (0..2).for_each(|link| hub.send(link, PROGRESS, 0, &[]));
+        (0..2).for_each(|connection| hub.send(connection, PROGRESS, 0, &[]));
         filler.send("INVITE", last, &more, &body);
         wait_for_log(program, "attempt sent", last, 1);
         let end = Instant::now() + Duration::from_millis(200);
--- a/tests/cold_hub_ramp.rs
+++ b/tests/cold_hub_ramp.rs
@@ -145,7 +145,7 @@
     /// Number of set-ups that cold hubs received.
     received: u64,
     /// Number of calls that were answered.
-    stood: u64,
+    answered: u64,
     /// Number of calls that callers asked for, without repeats.
     offered: u64,
 }
@@ -183,7 +183,7 @@
 struct Attempt {
     hub: u64,
     generation: u32,
-    stands: bool,
+    established: bool,
 }
 
 struct Call {
@@ -464,7 +464,7 @@
         let call = self.calls.get_mut(&id).expect("a call that is open");
         let attempt = call.attempts_sent;
         call.attempts_sent += 1;
-        call.attempts.insert(attempt, Attempt { hub, generation, stands: false });
+        call.attempts.insert(attempt, Attempt { hub, generation, established: false });
         self.schedule(ONE_WAY_LATENCY, Step::Receive { hub, call: id, attempt });
         self.schedule(timeout, Step::EndAttempt { call: id, attempt, outcome: Outcome::TimedOut });
     }
@@ -474,7 +474,7 @@
     fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(ended) = call.attempts.get(&attempt).copied() else { return };
-        let waits = !ended.stands;
+        let waits = !ended.established;
         let success = outcome == Outcome::Success;
         if !waits && !success && outcome != Outcome::Broken {
             return;
@@ -545,7 +545,8 @@
     /// A set-up reaches a hub, which refuses or queues it.
     fn receive(&mut self, hub: u64, id: u64, attempt: u32) {
         let Some(call) = self.calls.get(&id) else { return };
-        let (controller, waits) = (call.controller, call.attempts.get(&attempt).is_some_and(|a| !a.stands));
+        let (controller, waits) =
+            (call.controller, call.attempts.get(&attempt).is_some_and(|a| !a.established));
         if !waits {
             return;
         }
@@ -577,7 +578,7 @@
 
     /// The network resends a set-up that still waits, at doubling intervals.
     fn resend(&mut self, hub: u64, id: u64, attempt: u32, gap: u64) {
-        let waits = |c: &Call| c.attempts.get(&attempt).is_some_and(|a| !a.stands);
+        let waits = |c: &Call| c.attempts.get(&attempt).is_some_and(|a| !a.established);
         let Some(call) = self.calls.get(&id).filter(|c| waits(c)) else { return };
         let controller = call.controller;
         if self.hubs[hub as usize].up {
@@ -648,13 +649,13 @@
         }
         let Some(call) = self.calls.get_mut(&id).filter(|c| !c.answered) else { return };
         let Some(answered) = call.attempts.get_mut(&attempt) else { return };
-        answered.stands = true;
+        answered.established = true;
         let mean = self.settings.classes[call.class].hold_time.secs();
         self.hubs[hub as usize].lines_in_use += 1;
-        self.result.stood += 1;
+        self.result.answered += 1;
         let took = Micros(self.now + 2 * ONE_WAY_LATENCY - arrived);
-        let stands = Event::Established(CallId(id), ServerId(hub), attempt, took);
-        self.deliver(controller, stands);
+        let established = Event::Established(CallId(id), ServerId(hub), attempt, took);
+        self.deliver(controller, established);
         let lasts = self.exponential(mean);
         self.schedule(lasts, Step::HangUp { hub, generation, call: Some((id, attempt)) });
     }
@@ -805,7 +806,7 @@
 fn assert_rule_holds(what: &str, plan: Plan) {
     for seed in 0..SEED_COUNT {
         let result = Simulation::new(plan, seed).run();
-        let RunResult { violations, peak_ratio, received, stood, offered } = result;
+        let RunResult { violations, peak_ratio, received, answered, offered } = result;
         println!("{what}, seed {seed}: fullest window {peak_ratio:.2} of the bound, {received} received");
         assert_eq!(violations, 0, "{what}, seed {seed}: {peak_ratio:.2} of the bound: {plan:?}");
         // Five set-ups in the whole run is far less than even a small cold hub can process.
@@ -813,7 +814,7 @@
             received >= 5 * plan.cold_hubs,
             "{what}, seed {seed}: {received} received: cold hubs get almost no calls"
         );
-        assert!(stood * 4 >= offered, "{what}, seed {seed}: {stood} of {offered} stood");
+        assert!(answered * 4 >= offered, "{what}, seed {seed}: {answered} of {offered} stood");
     }
 }
 
--- a/tests/common/scripted_hub.rs
+++ b/tests/common/scripted_hub.rs
@@ -105,7 +105,9 @@
             stream.set_nonblocking(true).expect("set");
             self.connections.push(HubConnection { stream, input: Vec::new(), open: true });
         }
-        for (number, connection) in self.connections.iter_mut().enumerate().filter(|(_, l)| l.open) {
+        for (number, connection) in
+            self.connections.iter_mut().enumerate().filter(|(_, connection)| connection.open)
+        {
             let mut bytes = [0; 4096];
             loop {
                 match connection.stream.read(&mut bytes) {
--- a/tests/release_before_answer.rs
+++ b/tests/release_before_answer.rs
@@ -192,17 +192,18 @@
             let at_first = set_ups(&first, 1).map(|sent| (true, sent));
             at_first.or_else(|| set_ups(&second, 0).map(|sent| (false, sent)))
         });
-        let link = wait_until("another connection of the first hub", || {
+        let connection = wait_until("another connection of the first hub", || {
             first.receive();
-            let is_other =
-                |link: &usize| first.connections[*link].open && !(hub_is_first && *link == again.connection);
+            let is_other = |connection: &usize| {
+                first.connections[*connection].open && !(hub_is_first && *connection == again.connection)
+            };
             (0..first.connections.len()).find(is_other)
         });
         let next = |first: &mut ScriptedHub, second: &mut ScriptedHub, kind, parameters: &[(u8, &[u8])]| {
             let hub = if hub_is_first { first } else { second };
             hub.send(again.connection, kind, 0x30, parameters);
         };
-        let late = ReceivedMessage { connection: link, ..lost.clone() };
+        let late = ReceivedMessage { connection, ..lost.clone() };
         if matches!(answer_time, AnswerTime::DuringNextAttempt) {
             first.answer(&late);
             sleep(SETTLE_TIME);
--- a/tests/silent_hubs.rs
+++ b/tests/silent_hubs.rs
@@ -26,8 +26,8 @@
 const STANDING_CALL: u64 = 0xa0;
 
 /// Sends the hub's state on one of its connections.
-fn send_state(hub: &mut ScriptedHub, link: usize) {
-    hub.send(link, kind::STATE, 0, &[(code::REPORT, b"x0:190;x1:200;qps:50")]);
+fn send_state(hub: &mut ScriptedHub, connection: usize) {
+    hub.send(connection, kind::STATE, 0, &[(code::REPORT, b"x0:190;x1:200;qps:50")]);
 }
 
 /// Waits until the hub has `count` connections, and sends its state on each new one.
@@ -37,7 +37,7 @@
         hub.receive();
         (hub.connections.len() >= count).then_some(())
     });
-    (known..hub.connections.len()).for_each(|link| send_state(hub, link));
+    (known..hub.connections.len()).for_each(|connection| send_state(hub, connection));
 }
 
 /// Sets a call up and answers it as the hub.
@@ -151,9 +151,9 @@
     assert_released_in_time(&mut caller, since, || {
         for other in &mut others {
             other.receive();
-            for link in 0..other.connections.len() {
-                if other.connections[link].open {
-                    send_state(other, link);
+            for connection in 0..other.connections.len() {
+                if other.connections[connection].open {
+                    send_state(other, connection);
                 }
             }
         }
@@ -228,7 +228,7 @@
     while since.elapsed() < time {
         let known = hub.connections.len();
         hub.receive();
-        (known..hub.connections.len()).for_each(|link| send_state(hub, link));
+        (known..hub.connections.len()).for_each(|connection| send_state(hub, connection));
         sleep(Duration::from_millis(5));
     }
 }
@@ -237,7 +237,7 @@
 /// release.
 fn assert_call_still_stands(mut hub: ScriptedHub, mut caller: Caller) {
     hub.receive();
-    let last = hub.connections.iter().rposition(|link| link.open).expect("a connection");
+    let last = hub.connections.iter().rposition(|connection| connection.open).expect("a connection");
     hub.send(last, kind::RELEASE, STANDING_CALL, &[(code::CAUSE, &[16])]);
     caller.wait_for("its end", |message| matches!(message, Received::Bye(STANDING_CALL, _)));
     assert!(
