--- a/lab/src/soak/hub.rs
+++ b/lab/src/soak/hub.rs
@@ -175,7 +175,7 @@
         self.spawn(async move { shared.serve(read, out).await });
     }
 
-    /// Sends outstanding releases on a new connection and handles its messages until it is closed.
+    /// Sends the unsent releases on a new connection and handles its messages until it is closed.
     async fn serve(self, mut read: OwnedReadHalf, out: MessageSender) {
         self.wait_until_resumed().await;
         let _ = out.send(self.state());
@@ -235,7 +235,7 @@
                 }
             }
             kind::TEST => {
-                let _ = out.send(message(kind::TESTED, call, &[(code::CAUSE, &[1])]));
+                let _ = out.send(message(kind::TEST_RESULT, call, &[(code::CAUSE, &[1])]));
             }
             _ => {}
         }
--- a/tests/release_before_answer.rs
+++ b/tests/release_before_answer.rs
@@ -43,7 +43,7 @@
 /// The final responses and the BYEs that a caller received for a call.
 fn received_messages(caller: &mut Caller, call: u64) -> Vec<Received> {
     caller.receive();
-    let of_call = |said: &&Received| match said {
+    let of_call = |message: &&Received| match message {
         Received::Answer(c, status, ..) => *c == call && *status >= 200,
         Received::Bye(c, _) => *c == call,
         Received::Other(..) => false,
@@ -64,13 +64,17 @@
     let set_up = hub.wait_for_set_up(call, 1);
     let released = Instant::now();
     hub.send(set_up.connection, kind::RELEASE, call, &[(code::CAUSE, &[cause])]);
-    let (status, away, _) = caller.answer(call).expect("a final answer");
+    let (status, retry_after, _) = caller.answer(call).expect("a final answer");
     assert!(
         released.elapsed() < MAX_RELEASE_DELAY,
         "cause {cause}: final response after {:?}",
         released.elapsed()
     );
-    assert_eq!((status, away), (500, None), "cause {cause}: the call may have run, so it is not refused");
+    assert_eq!(
+        (status, retry_after),
+        (500, None),
+        "cause {cause}: the call may have run, so it is not refused"
+    );
     ReleasedCall { call, cause, set_up, answer_at: released + answer_delay, caller }
 }
 
@@ -82,7 +86,7 @@
     hub.answer(&set_up);
     assert_eq!(answer_status(&mut caller, call), 200);
     hub.send(set_up.connection, kind::RELEASE, call, &[(code::CAUSE, &[16])]);
-    caller.wait_for("the BYE of a completed call", |said| *said == Received::Bye(call, 16));
+    caller.wait_for("the BYE of a completed call", |message| *message == Received::Bye(call, 16));
 }
 
 fn answer_after_release_is_ignored(idempotency: &'static str) {
@@ -188,17 +192,18 @@
             let at_first = set_ups(&first, 1).map(|sent| (true, sent));
             at_first.or_else(|| set_ups(&second, 0).map(|sent| (false, sent)))
         });
-        let link = wait_until("another connection of the first hub", || {
+        let connection = wait_until("another connection of the first hub", || {
             first.receive();
-            let is_other =
-                |link: &usize| first.connections[*link].open && !(hub_is_first && *link == again.connection);
+            let is_other = |connection: &usize| {
+                first.connections[*connection].open && !(hub_is_first && *connection == again.connection)
+            };
             (0..first.connections.len()).find(is_other)
         });
         let next = |first: &mut ScriptedHub, second: &mut ScriptedHub, kind, parameters: &[(u8, &[u8])]| {
             let hub = if hub_is_first { first } else { second };
             hub.send(again.connection, kind, 0x30, parameters);
         };
-        let late = ReceivedMessage { connection: link, ..lost.clone() };
+        let late = ReceivedMessage { connection, ..lost.clone() };
         if matches!(answer_time, AnswerTime::DuringNextAttempt) {
             first.answer(&late);
             sleep(SETTLE_TIME);
@@ -216,7 +221,7 @@
             assert_eq!(received_messages(&mut caller, 0x30).len(), 1, "the call continues");
         }
         next(&mut first, &mut second, kind::RELEASE, &[(code::CAUSE, &[16])]);
-        caller.wait_for("the BYE", |said| *said == Received::Bye(0x30, 16));
+        caller.wait_for("the BYE", |message| *message == Received::Bye(0x30, 16));
         if matches!(answer_time, AnswerTime::AfterCall) {
             first.answer(&late);
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -25,7 +25,7 @@
 /// A simulated environment that feeds legal events to a controller and checks every action.
 struct Environment {
     controller: Controller,
-    set: Settings,
+    settings: Settings,
     now: u64,
     calls: BTreeMap<u64, ExpectedCall>,
     up: BTreeMap<u64, bool>,
@@ -34,10 +34,10 @@
 }
 
 impl Environment {
-    fn new(set: Settings, seed: u64) -> Environment {
-        let controller = Controller::new(set.clone(), seed, Micros(0)).expect("valid settings");
+    fn new(settings: Settings, seed: u64) -> Environment {
+        let controller = Controller::new(settings.clone(), seed, Micros(0)).expect("valid settings");
         let (calls, up) = (BTreeMap::new(), BTreeMap::new());
-        Environment { controller, set, now: 0, calls, up, timers: Vec::new(), next_id: 0 }
+        Environment { controller, settings, now: 0, calls, up, timers: Vec::new(), next_id: 0 }
     }
 
     fn handle(&mut self, event: Event) {
@@ -61,7 +61,7 @@
                     "rule 3: no send to a draining or removed server"
                 );
                 assert!(self.now >= call.retry_at, "rule 5: no send before the release");
-                assert!(call.attempts < self.set.max_attempts, "rule 2: no more attempts than allowed");
+                assert!(call.attempts < self.settings.max_attempts, "rule 2: no more attempts than allowed");
                 call.in_flight = Some((server.0, call.attempts));
                 call.attempts += 1;
             }
@@ -72,7 +72,7 @@
                 call.answered = true;
             }
             Action::Cancel(id, attempt) => {
-                assert!(self.set.may_cancel);
+                assert!(self.settings.may_cancel);
                 assert_eq!(
                     self.calls[&id.0].in_flight.map(|o| o.1),
                     Some(attempt),
@@ -81,14 +81,18 @@
             }
             Action::Timer(at, token) => self.timers.push((at.0, token)),
             Action::SendToPeer(peer, bytes) => {
-                assert!(self.set.may_message_peers && peer < self.set.balancers && peer != self.set.index);
+                assert!(
+                    self.settings.may_message_peers
+                        && peer < self.settings.balancers
+                        && peer != self.settings.index
+                );
                 assert!(bytes.len() <= 256);
             }
-            Action::Subscribe => assert!(self.set.must_subscribe),
+            Action::Subscribe => assert!(self.settings.must_subscribe),
         }
     }
 
-    fn list(&mut self, server: u64, phase: Phase, born: u64) {
+    fn list_server(&mut self, server: u64, phase: Phase, born: u64) {
         self.up.insert(server, phase == Phase::Up);
         let born = Some(Micros(born)).filter(|b| b.0 > 0);
         let entry =
@@ -96,11 +100,11 @@
         self.handle(Event::List(ListKind::Changes, vec![entry]));
     }
 
-    fn call(&mut self, place: i64, number: u64, returned: bool) {
+    fn start_call(&mut self, place: i64, number: u64, returned: bool) {
         let (id, deadline) = (self.next_id, self.now + 3_000_000);
         self.next_id += 1;
         self.calls.insert(id, ExpectedCall { deadline, ..ExpectedCall::default() });
-        let class = (id % self.set.classes.len() as u64) as usize;
+        let class = (id % self.settings.classes.len() as u64) as usize;
         let request = NewCall {
             number: Some(number),
             returned,
@@ -111,7 +115,7 @@
         self.handle(Event::Call(request));
     }
 
-    fn end(&mut self, pick: usize, outcome: Outcome, report: Report) {
+    fn end_attempt(&mut self, pick: usize, outcome: Outcome, report: Report) {
         let in_flight: Vec<u64> =
             self.calls.iter().filter(|(_, c)| c.in_flight.is_some()).map(|(i, _)| *i).collect();
         let Some(id) = in_flight.get(pick % in_flight.len().max(1)).copied() else { return };
@@ -121,7 +125,7 @@
         let awaits_release = matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::Withdrawn);
         let over = call.answered || call.established || outcome == Outcome::Success;
         if awaits_release {
-            call.retry_at = now + self.set.release.0;
+            call.retry_at = now + self.settings.release.0;
         }
         call.answered |= over;
         let (id, server) = (CallId(id), ServerId(server));
@@ -198,28 +202,28 @@
     ]
 }
 
-fn run_steps(set: &Settings, steps: &[Step], seed: u64) {
-    let mut environment = Environment::new(set.clone(), seed);
+fn run_steps(settings: &Settings, steps: &[Step], seed: u64) {
+    let mut environment = Environment::new(settings.clone(), seed);
     for server in 0..3 {
-        environment.list(server, Phase::Up, 0);
+        environment.list_server(server, Phase::Up, 0);
     }
     for step in steps {
         match step.clone() {
-            Step::Call(place, number, returned) => environment.call(place, number, returned),
+            Step::Call(place, number, returned) => environment.start_call(place, number, returned),
             Step::Advance(by) => environment.advance(by),
-            Step::List(server, phase, born) => environment.list(server, phase, born),
+            Step::List(server, phase, born) => environment.list_server(server, phase, born),
             Step::End(pick, outcome, wait, hold_back, free) => {
                 let wait = wait.map(Micros);
                 let report =
                     Report { wait, hold_back, free: Some(free), size: Some(30.0), ..Report::default() };
-                environment.end(pick, outcome, report);
+                environment.end_attempt(pick, outcome, report);
             }
             Step::Establish(pick) => environment.establish(pick),
         }
     }
     environment.advance(20_000_000);
     while environment.calls.values().any(|c| c.in_flight.is_some()) {
-        environment.end(0, Outcome::Success, Report::default());
+        environment.end_attempt(0, Outcome::Success, Report::default());
     }
     let (calls, servers, numbers) = environment.controller.tracked_counts();
     assert_eq!(calls, 0, "no ended call is kept");
@@ -243,13 +247,13 @@
         Settings { cold_from: 0.0, must_subscribe: true, ..base.clone() },
         Settings { own_place: Some(0), ..base },
     ];
-    for set in variants {
+    for settings in variants {
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
         let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
         let steps = proptest::collection::vec(step(), 1..300);
         TestRunner::new_with_rng(config, rng)
             .run(&(steps, any::<u64>()), |(steps, seed)| {
-                run_steps(&set, &steps, seed);
+                run_steps(&settings, &steps, seed);
                 Ok(())
             })
             .expect("no rule is broken");
