--- a/src/logic.rs
+++ b/src/logic.rs
@@ -433,7 +433,7 @@
         };
         self.calls.insert(id, call);
         let busy = request.number.and_then(|n| self.busy_numbers.get_mut(&n));
-        if busy.is_some_and(|throttle| throttle.holds_back(1.0, 0.0, self.now))
+        if busy.is_some_and(|s| s.holds_back(1.0, 0.0, self.now))
             || request.deadline <= self.now + ANSWER_MARGIN
         {
             return self.give_up(id, actions);
@@ -447,12 +447,8 @@
         self.refill_buckets();
         let Some(call) = self.calls.get(&id) else { return };
         let (worth, transit) = (self.relative_worth(call), call.request.transit);
-        let eligible: Vec<ServerId> = self
-            .servers
-            .iter()
-            .filter(|(id, server)| server.up && self.usable(call, **id, server))
-            .map(|(id, _)| *id)
-            .collect();
+        let eligible: Vec<ServerId> =
+            self.servers.iter().filter(|(s, v)| v.up && self.usable(call, **s, v)).map(|(s, _)| *s).collect();
         let first = eligible.iter().copied().find(|s| self.servers[s].place == call.request.place);
         if let Some(first) = first {
             if !self.holds_back(first, worth) {
@@ -476,10 +472,10 @@
     /// longer gets. The call may end before the server does, and one that is cut comes again.
     fn draining_server(&self, id: CallId) -> Option<ServerId> {
         let call = self.calls.get(&id)?;
-        let candidate = |(id, server): &(&ServerId, &Server)| !server.up && self.usable(call, **id, server);
+        let candidate = |(s, v): &(&ServerId, &Server)| !v.up && self.usable(call, **s, v);
         let mut draining: Vec<_> = self.servers.iter().filter(candidate).collect();
-        draining.sort_by_key(|(_, server)| server.place != call.request.place);
-        draining.first().map(|(id, _)| **id)
+        draining.sort_by_key(|(_, v)| v.place != call.request.place);
+        draining.first().map(|(s, _)| **s)
     }
 
     fn holds_back(&mut self, server: ServerId, worth: f64) -> bool {
@@ -488,17 +484,17 @@
     }
 
     /// Chooses a server at random, in proportion to weight times spare rate.
-    fn pick_by_weight(&mut self, candidates: &[ServerId]) -> Option<ServerId> {
+    fn pick_by_weight(&mut self, others: &[ServerId]) -> Option<ServerId> {
         let chance = self.random();
         let weight = |s: &ServerId| self.servers[s].weight * self.servers[s].spare_rate;
-        let mut point = chance * candidates.iter().map(weight).sum::<f64>();
-        for candidate in candidates {
-            point -= weight(candidate);
+        let mut point = chance * others.iter().map(weight).sum::<f64>();
+        for other in others {
+            point -= weight(other);
             if point < 0.0 {
-                return Some(*candidate);
+                return Some(*other);
             }
         }
-        candidates.last().copied()
+        others.last().copied()
     }
 
     /// Worth relative to the least class, lower for a call that can only be established late.
@@ -599,15 +595,15 @@
     /// A cold server's budget, in set-ups a second of all controllers. Its capacity is taken from its own
     /// peak rate, else from the lowest peak rate per line of the warm servers, else from an even part of all
     /// calls. Present capacity is a part of that, or what the server reports it can take, if that is more.
-    fn cold_budget(&self, server: &Server) -> f64 {
+    fn cold_budget(&self, to: &Server) -> f64 {
         let fewest = self.servers.values().filter_map(|s| s.lines).map(|l| l.1).fold(f64::INFINITY, f64::min);
         let unreported = if fewest.is_finite() { fewest * UNREPORTED_SIZE_RATIO } else { 0.0 };
-        let size = server.lines.map_or(unreported, |(_, size, _)| size);
+        let size = to.lines.map_or(unreported, |(_, size, _)| size);
         let warm = self.servers.values().filter(|s| s.up && self.now >= s.cold_until && s.peak_rate > 0.0);
         let rate_per_line =
             warm.filter_map(|s| s.lines.map(|l| s.peak_rate / l.1.max(1.0))).fold(f64::INFINITY, f64::min);
-        let capacity = if server.peak_rate > 0.0 {
-            server.peak_rate
+        let capacity = if to.peak_rate > 0.0 {
+            to.peak_rate
         } else if rate_per_line.is_finite() && size > 0.0 {
             rate_per_line * size
         } else {
@@ -615,7 +611,7 @@
             self.calls_received as f64 / (self.now - self.started).secs().max(1.0) * self.params.controllers
                 / up
         };
-        let current = (self.settings.cold_from * capacity).max(server.can_take.min(capacity));
+        let current = (self.settings.cold_from * capacity).max(to.can_take.min(capacity));
         self.settings.overload_factor * current * COLD_BUDGET_RATIO
     }
 
@@ -711,9 +707,9 @@
     /// for the throttle to change. Past the objective it is the longest.
     fn retry_after(&self, call: &Call) -> Micros {
         let left = call.due_at - self.now;
-        let retry_after =
+        let away =
             if left > SET_UP_MARGIN { left.scale(RETRY_AFTER_RATIO) } else { self.settings.max_retry_after };
-        retry_after.min(self.settings.max_retry_after)
+        away.min(self.settings.max_retry_after)
     }
 
     /// Recognises callers who dial again, by the number of the call given up: their objective counts from the
@@ -742,7 +738,7 @@
                 self.give_up(id, actions);
             }
             (RETRY_TIMER, None) if self.now >= call.retry_at => self.route(id, actions),
-            (CHECK_TIMER, Some((server_id, attempt))) => self.check_attempt(id, server_id, attempt, actions),
+            (CHECK_TIMER, Some((at, attempt))) => self.check_attempt(id, at, attempt, actions),
             _ => {}
         }
     }
@@ -750,11 +746,9 @@
     /// A server that hangs, crashed or lost its network does not look loaded. One that has answered nothing
     /// since this set-up was sent is silent: it gets only trial calls until it answers, and the set-up is
     /// cancelled while another server can still establish the call in time.
-    fn check_attempt(&mut self, id: CallId, server_id: ServerId, attempt: u32, actions: &mut Vec<Action>) {
+    fn check_attempt(&mut self, id: CallId, at: ServerId, attempt: u32, actions: &mut Vec<Action>) {
         let chance = self.random();
-        let (Some(server), Some(call)) = (self.servers.get_mut(&server_id), self.calls.get(&id)) else {
-            return;
-        };
+        let (Some(server), Some(call)) = (self.servers.get_mut(&at), self.calls.get(&id)) else { return };
         let expected = (server.wait + server.wait).max(server.last_set_up).scale(OVERDUE_FACTOR);
         let limit = self.tightest_objective.scale(SILENCE_TIMEOUT_RATIO).max(expected);
         let Some(sent) = server.pending.get(&(id, attempt)).copied() else { return };
@@ -769,10 +763,9 @@
         if !overtaken {
             let next = server.next_trial(&self.params, chance, self.now);
             server.trial_at = Some(server.trial_at.unwrap_or(next));
-            retry.tried.push(server_id);
+            retry.tried.push(at);
         }
-        let alternative =
-            self.servers.iter().any(|(id, server)| server.up && self.usable(&retry, *id, server));
+        let alternative = self.servers.iter().any(|(s, v)| v.up && self.usable(&retry, *s, v));
         if alternative && self.now < retry.due_at && self.settings.may_cancel {
             actions.push(Action::Cancel(id, attempt));
         }
@@ -860,8 +853,7 @@
     fn throttle_number(&mut self, number: u64) {
         let now = self.now;
         if self.busy_numbers.len() >= MAX_BUSY_NUMBERS && !self.busy_numbers.contains_key(&number) {
-            let oldest =
-                self.busy_numbers.iter().min_by_key(|(_, throttle)| throttle.expires_at).map(|(n, _)| *n);
+            let oldest = self.busy_numbers.iter().min_by_key(|(_, s)| s.expires_at).map(|(n, _)| *n);
             oldest.and_then(|n| self.busy_numbers.remove(&n));
         }
         let throttle = self.busy_numbers.entry(number).or_default();
@@ -886,18 +878,17 @@
     /// Takes over an estimate from before the start. Calls that it holds back could show that it is wrong, so
     /// a part is let through at once, and the first rate reported replaces it. A cold server gets no more
     /// than what the same process reported when it was colder.
-    fn restore(&mut self, estimate: &ServerEstimate, now: Micros) {
-        self.cold_until = self.cold_until.max(estimate.cold_until);
-        (self.peak_rate, self.can_take, self.last_set_up) =
-            (estimate.carried, estimate.can_take, estimate.delay);
-        (self.wait, self.set_up_delay, self.answered_at) = (estimate.wait, estimate.delay, estimate.heard);
-        (self.weight, self.pass) = (estimate.weight.max(MIN_WEIGHT), estimate.pass.max(MIN_PASS));
+    fn restore(&mut self, past: &ServerEstimate, now: Micros) {
+        self.cold_until = self.cold_until.max(past.cold_until);
+        (self.peak_rate, self.can_take, self.last_set_up) = (past.carried, past.can_take, past.delay);
+        (self.wait, self.set_up_delay, self.answered_at) = (past.wait, past.delay, past.heard);
+        (self.weight, self.pass) = (past.weight.max(MIN_WEIGHT), past.pass.max(MIN_PASS));
         (self.wait_updated_at, self.fleet_pass) = (Some(now), self.pass);
         (self.throttle.fraction, self.throttle.expires_at) =
-            (estimate.share, estimate.share_until.min(now + THROTTLE_TTL));
-        self.trial_at = estimate.silent.then_some(now);
-        if now >= self.cold_until && estimate.carries > 0.0 {
-            (self.service_rate, self.restored_rate) = (estimate.carries, estimate.carries);
+            (past.share, past.share_until.min(now + THROTTLE_TTL));
+        self.trial_at = past.silent.then_some(now);
+        if now >= self.cold_until && past.carries > 0.0 {
+            (self.service_rate, self.restored_rate) = (past.carries, past.carries);
         }
     }
 
@@ -971,17 +962,17 @@
             self.trial_at = self.trial_at.map(|t| t.min(now + TRIAL_INTERVAL));
         }
         self.fleet_pass += (self.pass.min(1.0 - self.throttle.current(now)) - self.fleet_pass) * gain;
-        let excess = self.fleet_rate / self.service_rate.max(0.1) - 1.0;
-        let slope = if excess > 0.0 {
-            (excess - WAIT_TOLERANCE).clamp(0.0, MAX_WAIT_GROWTH)
+        let over = self.fleet_rate / self.service_rate.max(0.1) - 1.0;
+        let slope = if over > 0.0 {
+            (over - WAIT_TOLERANCE).clamp(0.0, MAX_WAIT_GROWTH)
         } else {
-            excess.max(-WAIT_DECAY)
+            over.max(-WAIT_DECAY)
         };
         self.wait = (self.wait + Micros((slope.max(0.0) * span * 1e6) as u64))
             - Micros((-slope.min(0.0) * span * 1e6) as u64);
         self.wait_updated_at = self.wait_updated_at.map(|_| now);
-        let wait_ratio = self.expected_wait(now).secs() / params.wait_threshold.secs();
-        let target = self.service_rate * (1.0 + FLOW_TARGET_GAIN * (1.0 - wait_ratio)).max(MIN_PASS);
+        let over = self.expected_wait(now).secs() / params.wait_threshold.secs();
+        let target = self.service_rate * (1.0 + FLOW_TARGET_GAIN * (1.0 - over)).max(MIN_PASS);
         let reserve = SPARE_LINES_FACTOR * self.fleet_rate.max(1.0).sqrt();
         let full = if free < 1.0 { FULL_SERVER_RATIO } else { 1.0 };
         let target = target.min((used / params.hold_secs + (free - reserve) / FILL_SECS).max(0.0) * full);
